--- a/src/oleanderhill/groups/__init__.py
+++ b/src/oleanderhill/groups/__init__.py
@@ -1,1 +1,1 @@
-"""Groups of engine hosts that join by order: what is known of them, and what is to be done."""
+"""Engine hosts and the groups that they form: inventory, plans, ownership and orders."""
--- a/src/oleanderhill/groups/actions.py
+++ b/src/oleanderhill/groups/actions.py
@@ -1,4 +1,4 @@
-"""What the owner of a fabric domain orders its hosts to do, and how an order ended."""
+"""Orders that the owner of a fabric domain sends to its hosts, and their outcomes."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class Join(NamedTuple):
-    """Order a host into a group."""
+    """Order a host to join a group."""
 
     group: PlannedGroup
     instance: Instance
 
 
 class Warm(NamedTuple):
-    """Order a free host into a group of its own, so that it joins the next one sooner."""
+    """Order a free host to join a group of its own, which makes its next join faster."""
 
     group: PlannedGroup
     instance: Instance
 
 
 class Open(NamedTuple):
-    """Order a head to serve."""
+    """Order the head of a group to accept requests."""
 
     group: PlannedGroup
     instance: Instance
 
 
 class Leave(NamedTuple):
-    """Order a host out of a group, at once."""
+    """Order a host to leave a group immediately."""
 
     group: str
     epoch: int
@@ -39,14 +39,14 @@
 
 
 class Stage(NamedTuple):
-    """Order a host to load a model's weights, to have them at hand."""
+    """Order a host to load a model's weights before it joins a group."""
 
     model: str
     instance: Instance
 
 
 class Replan(NamedTuple):
-    """Write a new plan before anything else is done."""
+    """Write a new plan to the store. Later decisions wait for the result."""
 
     plan: DomainPlan
     reason: str
@@ -57,7 +57,7 @@
 
 
 class OrderEnd(StrEnum):
-    """How an order ended."""
+    """Outcome of an order."""
 
     DONE = "done"
     UNFIT = "unfit"
@@ -65,4 +65,4 @@
     GONE = "gone"
     SILENT = "silent"
     HELD_BACK = "held back"
-    """Not given: the host asked to be left alone for a time."""
+    """Not sent, because the host asked for a back-off."""
--- a/src/oleanderhill/groups/composing.py
+++ b/src/oleanderhill/groups/composing.py
@@ -1,9 +1,9 @@
-"""Which groups the hosts of a fabric domain are to make up, and whose weights they need for that.
+"""Decides which groups a fabric domain should form and which weights its free hosts should load.
 
-Weights take ten seconds and more to load, groups of hosts that have them two. So groups are formed
-only of hosts that have the weights, and loads are ordered ahead, toward the next groups that the
-free hosts can make up together: else hosts lie about in parts of groups, each with the wrong
-weights for the rest.
+Loading weights takes ten seconds and more; forming a group of hosts that have them takes two. So
+groups are formed only of hosts that have the weights, and loads are ordered in advance for the next
+groups that the free hosts can form together. Otherwise free hosts would end up as parts of several
+groups, none of which can be completed because the others have different weights.
 """
 
 from __future__ import annotations
@@ -16,27 +16,29 @@
 from .inventory import Instance
 from .plans import DomainPlan
 
-LOAD_WEIGHS = 1.2
-"""Part by which a group all of whose hosts need a load is less eligible: a load takes as long as
-losses take to come again. A group of 16 that lacks two is nearly there; a penalty for each load, as
-if it were half of a group of 4, had its hosts made into small ones."""
+LOAD_PENALTY = 1.2
+"""Penalty on the rank of a group if all of its hosts need a load, proportionally less if fewer do.
+A load takes about as long as the interval between losses. A group of 16 that lacks two hosts is
+nearly complete; with a penalty per load as high as for half of a group of 4, its hosts were used
+for small groups instead."""
 
-SPARE_PART = 0.12
-"""Part of a domain's hosts that groups leave free: two of nine, five of 37."""
+SPARE_FRACTION = 0.12
+"""Fraction of a domain's hosts that is kept free as spares: two of nine, five of 37."""
 
 
 SHORT = 1.25
-"""Groups for each that the load fills below which a model has too few: four fifths of all their
-slots are taken then, and the first request that meets a busy group waits."""
+"""Ratio of groups to groups filled by load below which a model is undersupplied. At this ratio four
+fifths of its slots are in use, and the first request that meets a busy group has to wait."""
 
 
 class ModelNeed(NamedTuple):
-    """A model as it concerns a domain.
+    """A model and its demand, as seen by one domain.
 
-    :param need: its part of all groups: what the load fills, and a part of what is expected
-    :param filled: how many groups of it the requests of the last seconds fill, over all domains
-    :param elsewhere: its groups in the other domains, as a mean of one domain
-    :param others: its groups in the other domains
+    :param need: its share of all groups, from current load and a part of the expected load
+    :param filled: number of its groups, over all domains, that the requests of the last seconds
+        fill
+    :param elsewhere: mean number of its groups per other domain
+    :param others: total number of its groups in the other domains
     """
 
     model: str
@@ -49,182 +51,185 @@
 
 
 class FreeHost(NamedTuple):
-    """A host that is in no sound group.
+    """A host that is in no fault-free group.
 
-    :param model: whose weights it has or loads, empty for none
-    :param at_hand: it may be ordered to load now; a host of a group that is being taken apart is
-        counted with, as it will be free in a moment
+    :param model: model whose weights it has or is loading, empty for none
+    :param available: whether it may be ordered to load now. Hosts of a group that is being
+        dissolved are included as unavailable, because they will be free shortly.
     """
 
     instance: Instance
     model: str
-    at_hand: bool
+    available: bool
 
 
-class Standard(NamedTuple):
-    """What a domain of its size is to hold.
+class Composition(NamedTuple):
+    """Desired composition of a domain, given its size.
 
-    :param spares: hosts that are to stay free
-    :param mix: groups by model
+    :param spares: number of hosts that should stay free
+    :param mix: number of groups by model
     """
 
     spares: int
     mix: Mapping[str, int]
 
 
-def standard(domain: str, hosts: int, needs: Sequence[ModelNeed]) -> Standard:
-    """Return what a domain with so many hosts is to hold."""
-    return Standard(spare_hosts(hosts), first_mix({domain: hosts}, needs)[domain])
+def desired_composition(domain: str, hosts: int, needs: Sequence[ModelNeed]) -> Composition:
+    """Return the desired composition of a domain with a number of hosts."""
+    return Composition(spare_hosts(hosts), initial_mix({domain: hosts}, needs)[domain])
 
 
 def next_model(
     plan: DomainPlan,
     staged: Mapping[str, int],
     free: int,
-    aim: Standard,
+    desired: Composition,
     needs: Sequence[ModelNeed],
 ) -> ModelNeed | None:
-    """Return the model to form a group of now: the one with the fewest groups for its need.
+    """Return the model to form a group for now: the least supplied one relative to its need.
 
-    :param staged: free hosts that have the weights, by model
-    :param free: hosts in no group
+    :param staged: number of free hosts that have the weights, by model
+    :param free: number of hosts in no group
     """
-    goal = _next_goal(plan, staged, free, aim, needs)
+    goal = _next_goal(plan, staged, free, desired, needs)
     if goal is None:
         return None
 
-    def leaves_goal(need: ModelNeed) -> bool:
-        # The goal may still wait for a load; groups of what is at hand must not use up its hosts.
+    def leaves_hosts_for_goal(need: ModelNeed) -> bool:
+        # The goal may still wait for a load; groups that can form now must not use up its hosts.
         return need is goal or free - need.hosts >= goal.hosts
 
     ready = [n for n in needs if n.hosts <= staged.get(n.model, 0)]
-    fitting = [n for n in ready if leaves_goal(n) and _may_form(plan, n, free, aim)]
+    fitting = [n for n in ready if leaves_hosts_for_goal(n) and _may_form(plan, n, free, desired)]
     return min(fitting, key=lambda n: supply(plan, n), default=None)
 
 
-def _may_form(plan: DomainPlan, need: ModelNeed, free: int, aim: Standard) -> bool:
-    """Tell whether a group of a model may be made of the free hosts.
+def _may_form(plan: DomainPlan, need: ModelNeed, free: int, desired: Composition) -> bool:
+    """Return whether a group for a model may be formed of the free hosts.
 
-    Spares mend the groups that stand. Made into one more small group, as any five free hosts could
-    be, they were missing when a group of 16 lost one member, and none of the five such groups that
-    broke in a day came back while requests came. They are given up only to have as many groups as
-    there should be, or for a model whose groups are all but full. What is expected of it is no
-    reason: its groups were half full, spares of nine domains went into more of them, and of 15
-    groups of 32 that lost a member one after the other none was formed again for lack of one host.
+    Spares replace lost members of existing groups. When any five free hosts could be turned into
+    another small group, none was left when a group of 16 lost a member, and none of the five such
+    groups that broke in a day recovered while requests arrived. Spares are used only to reach the
+    desired number of groups, or for a model whose groups are nearly full. Expected load alone is
+    not sufficient: while a model's groups were only half full, the spares of nine domains went
+    into more of them, and of 15 groups of 32 that lost a member one after the other none was formed
+    again for lack of one host.
     """
     if need.need <= 0 or need.hosts > free:
         return False
     own = sum(1 for g in plan.groups if g.model == need.model)
-    if free - need.hosts >= aim.spares or own < aim.mix.get(need.model, 0):
+    if free - need.hosts >= desired.spares or own < desired.mix.get(need.model, 0):
         return True
     return own + need.others < SHORT * need.filled
 
 
-def first_mix(
+def initial_mix(
     hosts_by_domain: Mapping[str, int], needs: Sequence[ModelNeed]
 ) -> dict[str, Counter[str]]:
-    """Return how many groups of each model each domain is to form first.
-
-    Owners of domains don't ask each other; each works out the same from the same list. Of two ways
-    the one holds that leaves the worst supplied model the better off. Handed out one by one, small
-    groups are spread over all domains, and leave room for a large one in none of them: of five
-    domains of 19 hosts one got a group of 16, when three groups were the share of their model, and
-    nine in ten of its requests were refused. Placed by size first, the large ones have their
-    domains, and the small ones the rest.
+    """Return how many groups of each model each domain should form initially.
+
+    Owners do not coordinate; each computes the same result from the same list. Of two strategies,
+    the one with the better supply for the worst supplied model is used. Distributed one by one,
+    small groups spread over all domains and leave no domain with enough hosts for a large one: of
+    five domains of 19 hosts only one got a group of 16, although three groups were the share of
+    that model, and nine in ten of its requests were rejected. Placed by size, large groups get
+    domains of their own and small ones the remaining hosts.
     """
     open_needs = [n for n in needs if n.need > 0]
-    one_by_one = _Room(hosts_by_domain)
-    one_by_one.hand_out(open_needs)
-    by_size = _Room(hosts_by_domain)
-    pooled = _Room({"": sum(by_size.free.values())}, spares=False)
-    pooled.hand_out(open_needs)
-    by_size.place(open_needs, pooled.given)
-    by_size.hand_out(open_needs)
-    best = max((one_by_one, by_size), key=lambda room: room.worst_supply(open_needs))
+    distributed = _Allocation(hosts_by_domain)
+    distributed.distribute(open_needs)
+    placed = _Allocation(hosts_by_domain)
+    pooled = _Allocation({"": sum(placed.free.values())}, spares=False)
+    pooled.distribute(open_needs)
+    placed.place_by_size(open_needs, pooled.count_by_model)
+    placed.distribute(open_needs)
+    best = max((distributed, placed), key=lambda allocation: allocation.worst_supply(open_needs))
     return best.mix
 
 
-class _Room:
-    """The hosts of domains that are left while groups are handed out."""
+class _Allocation:
+    """Allocation of the hosts of all domains to groups."""
 
     def __init__(self, hosts_by_domain: Mapping[str, int], spares: bool = True) -> None:
         self._spares = {d: spare_hosts(n) if spares else 0 for d, n in hosts_by_domain.items()}
         self.free = {d: n - self._spares[d] for d, n in hosts_by_domain.items()}
         self.mix: dict[str, Counter[str]] = {d: Counter() for d in hosts_by_domain}
-        self.given: Counter[str] = Counter()
+        self.count_by_model: Counter[str] = Counter()
 
     def worst_supply(self, needs: Sequence[ModelNeed]) -> float:
-        """Return the groups of the worst supplied model, in parts of its need."""
-        return min((self.given[n.model] / n.need for n in needs), default=0.0)
+        """Return the lowest ratio of groups to need over all models."""
+        return min((self.count_by_model[n.model] / n.need for n in needs), default=0.0)
 
-    def place(self, needs: Sequence[ModelNeed], wanted: Mapping[str, int]) -> None:
-        """Place groups of all models, the largest first, as far as they fit."""
+    def place_by_size(self, needs: Sequence[ModelNeed], wanted: Mapping[str, int]) -> None:
+        """Allocate groups of all models, the largest first, as far as they fit."""
         for need in sorted(needs, key=lambda n: (-n.hosts, n.model)):
             for _ in range(wanted[need.model]):
                 fitting = [d for d, n in self.free.items() if n >= need.hosts]
                 if fitting:
-                    self._take(need, fitting)
+                    self._allocate(need, fitting)
 
-    def hand_out(self, needs: Sequence[ModelNeed]) -> None:
-        """Hand out groups one by one, to the model that has the fewest for its need.
+    def distribute(self, needs: Sequence[ModelNeed]) -> None:
+        """Allocate groups one by one, each to the model with the lowest supply.
 
-        A model's first group may use up the spares.
+        The first group of a model may use the spares.
         """
         left = list(needs)
         while left:
-            need = min(left, key=lambda n: (self.given[n.model] / n.need, -n.hosts, n.model))
+            need = min(
+                left, key=lambda n: (self.count_by_model[n.model] / n.need, -n.hosts, n.model)
+            )
             fitting = [d for d, n in self.free.items() if n >= need.hosts]
-            if not fitting and not self.given[need.model]:
+            if not fitting and not self.count_by_model[need.model]:
                 fitting = [d for d, n in self.free.items() if n + self._spares[d] >= need.hosts]
             if fitting:
-                self._take(need, fitting)
+                self._allocate(need, fitting)
             else:
                 left.remove(need)
 
-    def _take(self, need: ModelNeed, fitting: Sequence[str]) -> None:
-        """Place a group in the domain that has the fewest of its model and the most room."""
+    def _allocate(self, need: ModelNeed, fitting: Sequence[str]) -> None:
+        """Allocate a group in the domain with the fewest of its model, then the most free hosts."""
         domain = min(fitting, key=lambda d: (self.mix[d][need.model], -self.free[d], d))
         self.mix[domain][need.model] += 1
         self.free[domain] -= need.hosts
-        self.given[need.model] += 1
+        self.count_by_model[need.model] += 1
 
 
 def spare_hosts(hosts: int) -> int:
-    """Return how many of a domain's hosts are to stay free."""
-    return math.ceil(hosts * SPARE_PART)
+    """Return how many of a domain's hosts should stay free."""
+    return math.ceil(hosts * SPARE_FRACTION)
 
 
-def next_first(
-    plan: DomainPlan, first: Mapping[str, int], free: int, needs: Sequence[ModelNeed]
+def next_initial_model(
+    plan: DomainPlan, initial: Mapping[str, int], free: int, needs: Sequence[ModelNeed]
 ) -> ModelNeed | None:
-    """Return the model of which the plan still lacks first groups, the largest one first."""
+    """Return the largest model of which the plan still lacks initial groups."""
     held = Counter(g.model for g in plan.groups)
-    lacking = [n for n in needs if held[n.model] < first.get(n.model, 0) and n.hosts <= free]
+    lacking = [n for n in needs if held[n.model] < initial.get(n.model, 0) and n.hosts <= free]
     return max(lacking, key=lambda n: n.hosts, default=None)
 
 
 def supply(plan: DomainPlan, need: ModelNeed) -> float:
-    """Return how well a model is supplied: its groups, here and elsewhere, for its need."""
+    """Return the supply of a model: its groups, here and in other domains, relative to its need."""
     own = sum(1 for g in plan.groups if g.model == need.model)
     return (own + need.elsewhere + 0.5) / need.need
 
 
 def loads_to_order(
-    plan: DomainPlan, free: Sequence[FreeHost], aim: Standard, needs: Sequence[ModelNeed]
+    plan: DomainPlan, free: Sequence[FreeHost], desired: Composition, needs: Sequence[ModelNeed]
 ) -> list[tuple[Instance, str]]:
-    """Return which free hosts are to load which model's weights, the most urgent first.
+    """Return which free hosts should load which model's weights, the most urgent first.
 
-    :param plan: the domain's plan, of its sound groups only
+    :param plan: the domain's plan, with its fault-free groups only
     """
     left = list(free)
     orders: list[tuple[Instance, str]] = []
     while True:
         staged = Counter(h.model for h in left)
-        need = _next_goal(plan, staged, len(left), aim, needs)
+        need = _next_goal(plan, staged, len(left), desired, needs)
         if need is None:
             break
         group, left = _pick(left, need)
-        orders += [(h.instance, need.model) for h in group if h.model != need.model and h.at_hand]
+        orders += [(h.instance, need.model) for h in group if h.model != need.model and h.available]
         plan = plan.with_group(need.model, tuple(h.instance for h in group))
     return orders + _spares(plan, left, needs)
 
@@ -233,27 +238,27 @@
     plan: DomainPlan,
     staged: Mapping[str, int],
     free: int,
-    aim: Standard,
+    desired: Composition,
     needs: Sequence[ModelNeed],
 ) -> ModelNeed | None:
-    """Return the model that the free hosts are to make up a group of next."""
+    """Return the model for which the free hosts should form the next group."""
 
     def rank(need: ModelNeed) -> float:
         loads = max(0, need.hosts - staged.get(need.model, 0))
-        return supply(plan, need) * (1 + LOAD_WEIGHS * loads / need.hosts)
+        return supply(plan, need) * (1 + LOAD_PENALTY * loads / need.hosts)
 
-    fitting = [n for n in needs if _may_form(plan, n, free, aim)]
+    fitting = [n for n in needs if _may_form(plan, n, free, desired)]
     return min(fitting, key=rank, default=None)
 
 
 def _pick(left: Sequence[FreeHost], need: ModelNeed) -> tuple[list[FreeHost], list[FreeHost]]:
-    """Return the hosts that make up a group, those that have its weights first, and the rest."""
+    """Split the hosts into those for a group, hosts with its weights first, and the rest."""
     others = Counter(h.model for h in left)
 
     def rank(host: FreeHost) -> tuple[bool, bool, bool, int]:
-        # Of the wrong weights those go first of which there are the fewest: they are the least
-        # of a group.
-        return host.model != need.model, bool(host.model), not host.at_hand, others[host.model]
+        # Of hosts with other weights, use those of the rarest model first: they are furthest from
+        # completing a group of it.
+        return host.model != need.model, bool(host.model), not host.available, others[host.model]
 
     ordered = sorted(left, key=rank)
     return ordered[: need.hosts], ordered[need.hosts :]
@@ -262,11 +267,11 @@
 def _spares(
     plan: DomainPlan, left: Sequence[FreeHost], needs: Sequence[ModelNeed]
 ) -> list[tuple[Instance, str]]:
-    """Return what hosts beyond all groups load: a spare for each model before a second for one."""
+    """Return loads for the remaining hosts: one spare for each model before a second for any."""
     spares = Counter(h.model for h in left)
     orders = []
     for host in left:
-        if host.model or not host.at_hand:
+        if host.model or not host.available:
             continue
         need = min(
             (n for n in needs if n.need > 0),
--- a/src/oleanderhill/groups/engine_hosts.py
+++ b/src/oleanderhill/groups/engine_hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of engine services by domain, worked out anew for the domains that changed."""
+"""Engine hosts by domain, recomputed only for domains that changed."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from .inventory import Instance, Inventory, TargetHost
 
 HostsByDomain = Mapping[str, Mapping[Instance, TargetHost]]
-"""Engine hosts by domain and instance; a domain without any is left out."""
+"""Engine hosts by domain and instance. Domains without engine hosts are omitted."""
 
 
 class EngineHosts:
-    """Tells engine hosts from what else stands in the list.
+    """Selects the engine hosts from the host list.
 
-    Anybody may write into the list. A host of a service that is not configured is no engine of
-    ours: given to a group, it would never join, and the others would wait for it.
+    Any writer can add entries to the list. A host whose service is not configured is not an engine:
+    as a member of a group it would never join, and the other members would wait for it.
 
-    Each entry host looks at the domains several times a second, to take one whose owner is gone.
-    What a look needs is kept by domain, and worked out anew only where the domain changed.
+    Each entry host checks all domains several times a second, to take over those without an owner.
+    The hosts are therefore cached by domain and recomputed only when the domain changes.
     """
 
     def __init__(self, inventory: Inventory) -> None:
@@ -28,7 +28,7 @@
         self._by_domain: dict[str, Mapping[Instance, TargetHost]] = {}
 
     def by_domain(self, catalog: Catalog) -> HostsByDomain:
-        """Return the engine hosts now."""
+        """Return the current engine hosts."""
         services = frozenset(
             s.name for s in catalog.service_by_name.values() if s.engine is not None
         )
--- a/src/oleanderhill/groups/forming.py
+++ b/src/oleanderhill/groups/forming.py
@@ -1,12 +1,13 @@
-"""What the owner of a fabric domain does next: form, open, mend and dissolve groups.
+"""Decisions of a domain's owner: which groups to form, open, repair and dissolve.
 
-:class:`DomainKeeper` is pure: it looks at the plan and at what the hosts report and returns
-actions. The rules it keeps, whatever order things happen in:
+:class:`DomainKeeper` performs no I/O: it reads the plan and the state that hosts report, and
+    returns actions. It maintains these invariants, whatever the order of events:
 
-- a head is told to open only when every member has reported ready under this group and epoch;
-- a host is given to another group only once it has left its last one: it said so itself, or its
-  newest entry shows none. Whether the old head still serves is then of no matter. It may be cut
-  off from here and open for others; its requests stall, and it breaks by itself.
+- A head is ordered to open only when every member has reported ready under this group and epoch.
+- A host is assigned to another group only after it has left its previous one: it reported so
+  itself, or its newest entry lists no group. It is safe even if the old head still serves, for
+  example because it is partitioned from this entry host and open to others: requests in a group
+  without all members stall, and the head then breaks the group itself.
 """
 
 from __future__ import annotations
@@ -16,48 +17,56 @@
 from enum import StrEnum
 
 from .actions import Action, Join, Leave, Open, Order, OrderEnd, Replan, Stage
-from .composing import FreeHost, ModelNeed, loads_to_order, next_first, next_model, standard
+from .composing import (
+    FreeHost,
+    ModelNeed,
+    desired_composition,
+    loads_to_order,
+    next_initial_model,
+    next_model,
+)
 from .inventory import Instance, MemberState, TargetHost
 from .pacing import LoadPacer
 from .plans import DomainPlan, PlannedGroup
 from .spares import Spares
 
-ORDER_AGAIN = 1.2
-"""Seconds before an order is repeated. An order takes a few ms; what has not shown in the host
-list within two of its readings was lost, refused or is carried out late."""
+ORDER_REPEAT_SECONDS = 1.2
+"""Seconds before an order is repeated. An order takes a few milliseconds; if two readings of the
+host list do not show its effect, it was lost, rejected or is carried out late."""
 
 LEAVING_GRACE = 1.6
-"""Seconds in which the work of a group with a leaving member may end. Most answers take less, and
-a leaving host goes on for at least two."""
+"""Seconds that a group with a leaving member gets to finish its requests. Most answers take less,
+and a leaving host continues to run for at least two seconds."""
 
-LET_GO_LASTS = 3.0
-"""Seconds for which a host's word that it left a group outweighs its entry, which may be older. An
-entry that shows the group after that is right: an earlier order to join was carried out late."""
+LEFT_REPORT_SECONDS = 3.0
+"""Seconds for which a host's report that it left a group overrides its entry, which may be older.
+An entry that still shows the group after that is correct: an earlier order to join was carried out
+late."""
 
-KEPT_ABSENT = 20.0
-"""Seconds for which a group none of whose hosts shows stays planned: a data centre that was cut
-off comes back with its groups whole, and they serve at once."""
+ABSENT_GROUP_SECONDS = 20.0
+"""Seconds for which a group without any listed host stays planned. A data centre that was
+partitioned returns with its groups complete, and they can serve immediately."""
 
 SILENT_PROBES = 2
-"""Probes in a row without an answer after which a member counts as lost. Its entry stays in the
-list for three heartbeats more; requests sent meanwhile stall."""
+"""Consecutive unanswered probes after which a member counts as lost. Its entry stays listed for
+three more heartbeats, and requests sent in that time stall."""
 
 REACHED_WITHIN = 1.5
-"""Seconds within which another host of the domain must have answered this entry host: where none
-does, it is this host that is cut off, and its silence proves nothing."""
+"""Seconds within which another host of the domain must have answered this entry host for unanswered
+probes to count. If none has, this entry host may itself be partitioned."""
 
 AVOID_SECONDS = 3.0
-"""Seconds for which a host that did not answer an order or probe is given to no group: it is dead
-and still listed, another answers at its address, or it carries its orders out late."""
+"""Seconds for which a host that did not answer an order or probe is not assigned to a group: it has
+failed and is still listed, another host answers at its address, or it carries out orders late."""
 
-FORM_PATIENCE = 12.0
-"""Seconds beyond its load time that a group may take to form before its hosts are used anew."""
+FORM_TIMEOUT = 12.0
+"""Seconds beyond its load time that a group may take to form before its hosts are reassigned."""
 
 
 class Fault(StrEnum):
-    """Why a group has to go."""
+    """Reason to dissolve a group."""
 
-    CONDEMNED = "being broken up"
+    DISSOLVING = "being broken up"
     MEMBER_SILENT = "member silent"
     MEMBER_GONE = "member gone"
     MEMBER_LEAVING = "member leaving"
@@ -67,28 +76,29 @@
 
 
 class DomainKeeper:
-    """Keeps one domain."""
+    """Decides the actions for one domain."""
 
     def __init__(self, pacer: LoadPacer) -> None:
         self.pacer = pacer
         self._spares = Spares(pacer)
         self._ordered_at: dict[tuple[type[Order], Order], float] = {}
-        self._since: dict[str, float] = {}
+        self._planned_since: dict[str, float] = {}
         self._fault_since: dict[str, float] = {}
-        self._whole_once: set[str] = set()
-        self._let_go_at: dict[tuple[str, Instance], float] = {}
+        self._completed: set[str] = set()
+        self._left_at: dict[tuple[str, Instance], float] = {}
         self._condemned: set[str] = set()
         self._probes_missed: dict[Instance, int] = {}
         self._answered_at = float("-inf")
         self._avoid_until: dict[Instance, float] = {}
 
     def ended(self, order: Order, end: OrderEnd, now: float) -> None:
-        """Take note of how an order ended."""
+        """Record the outcome of an order."""
         if end in (OrderEnd.SILENT, OrderEnd.GONE):
             self._avoid_until[order.instance] = now + AVOID_SECONDS
         elif end != OrderEnd.HELD_BACK:
-            # A host back from a cut answers orders long before anybody has a reason to probe it.
-            # Silent by its old probes, it would break up each group that it is given to.
+            # A host that was partitioned answers orders long before another probe of it is due. If
+            # its old unanswered probes still counted, each group that it is assigned to would be
+            # dissolved.
             self._probes_missed.pop(order.instance, None)
         if end not in (OrderEnd.SILENT, OrderEnd.HELD_BACK):
             self._answered_at = now
@@ -97,11 +107,11 @@
         if not isinstance(order, Leave):
             return
         if end in (OrderEnd.DONE, OrderEnd.UNFIT, OrderEnd.GONE):
-            self._let_go_at[order.group, order.instance] = now
+            self._left_at[order.group, order.instance] = now
             self._condemned.add(order.group)
 
     def probed(self, instance: Instance, unanswered: int, now: float) -> None:
-        """Take note of how many probes in a row a host left unanswered, 0 if it answered."""
+        """Record the number of consecutive probes that a host left unanswered, 0 if it answered."""
         if not unanswered:
             self._answered_at = now
             self._probes_missed.pop(instance, None)
@@ -115,58 +125,60 @@
         plan: DomainPlan,
         host_by_instance: Mapping[Instance, TargetHost],
         needs: Sequence[ModelNeed],
-        first: Mapping[str, int] | None,
-        ended: Collection[Instance] = (),
+        initial: Mapping[str, int] | None,
+        restarted: Collection[Instance] = (),
     ) -> list[Action]:
-        """Return what to do now.
-
-        :param host_by_instance: the hosts of the domain that the list shows
-        :param first: how many groups of each model to form while loads are quick and free, of any
-            hosts, none while the list is not complete; ``None`` once loads count
-        :param ended: members whose hosts have started again since, and so have left their groups
+        """Return the actions to take now.
+
+        :param host_by_instance: the listed hosts of the domain
+        :param initial: number of groups of each model to form, of any hosts, while loads are fast
+            and not rate-limited; empty while the host list is incomplete; ``None`` once loads are
+            rate-limited
+        :param restarted: members whose hosts have since restarted and have therefore left their
+            groups
         """
-        loads_free = first is not None
-        self._forget(plan, host_by_instance)
-        self._spares.look(now, host_by_instance, needs)
+        loads_free = initial is not None
+        self._prune(plan, host_by_instance)
+        self._spares.observe(now, host_by_instance, needs)
         actions: list[Action] = []
         dissolved: list[str] = []
         for group in plan.groups:
-            self._since.setdefault(group.name, now)
+            self._planned_since.setdefault(group.name, now)
             fault = self._fault(now, group, host_by_instance, needs)
             if fault is None:
                 self._fault_since.pop(group.name, None)
-                actions.extend(self._form_on(now, group, host_by_instance, loads_free))
+                actions.extend(self._continue_forming(now, group, host_by_instance, loads_free))
                 continue
             self._fault_since.setdefault(group.name, now)
-            if self._let_be(now, group, fault):
+            if self._in_leaving_grace(now, group, fault):
                 continue
-            if self._may_dissolve(now, group, host_by_instance, ended):
+            if self._may_dissolve(now, group, host_by_instance, restarted):
                 dissolved.append(f"{group.name} {fault.value}")
                 plan = plan.without_group(group.name)
             else:
-                actions.extend(self._break_up(now, group, host_by_instance))
-        actions.extend(self._send_off_strays(now, plan, host_by_instance))
-        formed = self._form_new(now, plan, host_by_instance, needs, first)
+                actions.extend(self._order_members_out(now, group, host_by_instance))
+        actions.extend(self._remove_unplanned_members(now, plan, host_by_instance))
+        formed = self._form_new(now, plan, host_by_instance, needs, initial)
         if formed is not None or dissolved:
             reasons = [f"dissolved {d}" for d in dissolved]
             if formed is not None:
                 plan, reason = formed
                 reasons.append(reason)
             return [*actions, Replan(plan, "; ".join(reasons))]
-        if first is None or first:
-            actions.extend(self._prepare(now, plan, host_by_instance, needs, loads_free))
+        if initial is None or initial:
+            actions.extend(self._prepare_spares(now, plan, host_by_instance, needs, loads_free))
         return actions
 
-    def _forget(self, plan: DomainPlan, hosts: Mapping[Instance, TargetHost]) -> None:
+    def _prune(self, plan: DomainPlan, hosts: Mapping[Instance, TargetHost]) -> None:
         names = {g.name for g in plan.groups}
         self._probes_missed = {i: n for i, n in self._probes_missed.items() if i in hosts}
         self._avoid_until = {i: t for i, t in self._avoid_until.items() if i in hosts}
-        for table in (self._since, self._fault_since):
+        for table in (self._planned_since, self._fault_since):
             for name in [n for n in table if n not in names]:
                 del table[name]
-        self._whole_once &= names
+        self._completed &= names
         self._condemned &= names
-        self._let_go_at = {m: t for m, t in self._let_go_at.items() if m[1] in hosts}
+        self._left_at = {m: t for m, t in self._left_at.items() if m[1] in hosts}
         self._ordered_at = {o: t for o, t in self._ordered_at.items() if o[1].instance in hosts}
 
     def _fault(
@@ -176,34 +188,34 @@
         hosts: Mapping[Instance, TargetHost],
         needs: Sequence[ModelNeed],
     ) -> Fault | None:
-        # Once a member has left, the group is past mending: ordered in again, the member would be
-        # in a group that it is known to have left.
+        # Once a member has left, the group cannot be repaired: ordered to join again, the member
+        # would be in a group that it is recorded as having left.
         if group.name in self._condemned:
-            return Fault.CONDEMNED
+            return Fault.DISSOLVING
         members = [hosts.get(i) for i in group.members]
         if any(m is None for m in members):
             return Fault.MEMBER_GONE
         present = [m for m in members if m is not None]
-        if any(_in(group, m) and _state(m) == MemberState.BROKEN for m in present):
+        if any(_is_member(group, m) and _member_state(m) == MemberState.BROKEN for m in present):
             return Fault.BROKEN
-        if all(_in(group, m) and _state(m) != MemberState.JOINING for m in present):
-            self._whole_once.add(group.name)
-        elif group.name in self._whole_once and any(not _in(group, m) for m in present):
+        if all(_is_member(group, m) and _member_state(m) != MemberState.JOINING for m in present):
+            self._completed.add(group.name)
+        elif group.name in self._completed and any(not _is_member(group, m) for m in present):
             return Fault.MEMBER_OUT
-        if self._lost(now, group):
+        if self._has_lost_member(now, group):
             return Fault.MEMBER_SILENT
         if any(m.leaving for m in present):
             return Fault.MEMBER_LEAVING
         load = max((n.load_seconds for n in needs if n.model == group.model), default=0.0)
-        late = now - self._since[group.name] > FORM_PATIENCE + 2 * load
-        return Fault.NOT_FORMED if late and group.name not in self._whole_once else None
+        late = now - self._planned_since[group.name] > FORM_TIMEOUT + 2 * load
+        return Fault.NOT_FORMED if late and group.name not in self._completed else None
 
-    def _lost(self, now: float, group: PlannedGroup) -> bool:
+    def _has_lost_member(self, now: float, group: PlannedGroup) -> bool:
         if now - self._answered_at > REACHED_WITHIN:
             return False
         return any(self._probes_missed.get(i, 0) >= SILENT_PROBES for i in group.members)
 
-    def _form_on(
+    def _continue_forming(
         self,
         now: float,
         group: PlannedGroup,
@@ -211,31 +223,31 @@
         loads_free: bool,
     ) -> list[Action]:
         members = [hosts[i] for i in group.members]
-        outside = [m for m in members if not _in(group, m)]
+        outside = [m for m in members if not _is_member(group, m)]
         if outside:
             return [
                 order
                 for m in outside
                 if (order := self._join(now, group, m, loads_free)) is not None
             ]
-        if all(_state(m) == MemberState.READY for m in members):
-            return self._once(now, Open(group, group.head))
+        if all(_member_state(m) == MemberState.READY for m in members):
+            return self._order_if_due(now, Open(group, group.head))
         return []
 
     def _join(
         self, now: float, group: PlannedGroup, host: TargetHost, loads_free: bool
     ) -> Join | None:
         order = Join(group, host.instance)
-        if not self._due(now, order):
+        if not self._is_due(now, order):
             return None
         if group.model not in host.staged and not loads_free and not self.pacer.take(now):
             return None
         self._ordered_at[type(order), order] = now
-        self._let_go_at.pop((group.name, host.instance), None)
+        self._left_at.pop((group.name, host.instance), None)
         return order
 
-    def _let_be(self, now: float, group: PlannedGroup, fault: Fault) -> bool:
-        """Tell whether a faulty group may end the work that it has."""
+    def _in_leaving_grace(self, now: float, group: PlannedGroup, fault: Fault) -> bool:
+        """Return whether a group with a leaving member still has time to finish its requests."""
         return fault == Fault.MEMBER_LEAVING and now - self._fault_since[group.name] < LEAVING_GRACE
 
     def _may_dissolve(
@@ -243,38 +255,38 @@
         now: float,
         group: PlannedGroup,
         hosts: Mapping[Instance, TargetHost],
-        ended: Collection[Instance],
+        restarted: Collection[Instance],
     ) -> bool:
-        """Tell whether all hosts of a group that can be asked have left it.
+        """Return whether all hosts of a group that can be contacted have left it.
 
-        Where none can be, it is likely the way there that is cut, and the group may be whole,
-        unless all of them are known to have started again.
+        If none can be contacted, the most likely cause is a network partition, and the group may be
+        complete, unless all its hosts are known to have restarted.
         """
         present = [i for i in group.members if i in hosts]
         if not present:
             return (
-                all(i in ended for i in group.members)
-                or now - self._fault_since[group.name] > KEPT_ABSENT
+                all(i in restarted for i in group.members)
+                or now - self._fault_since[group.name] > ABSENT_GROUP_SECONDS
             )
-        asked = [i for i in present if now >= self._avoid_until.get(i, 0.0)]
-        left = [i for i in present if (group.name, i) in self._let_go_at]
-        return bool(left) and all(i in left for i in asked)
+        contactable = [i for i in present if now >= self._avoid_until.get(i, 0.0)]
+        left = [i for i in present if (group.name, i) in self._left_at]
+        return bool(left) and all(i in left for i in contactable)
 
-    def _break_up(
+    def _order_members_out(
         self, now: float, group: PlannedGroup, hosts: Mapping[Instance, TargetHost]
     ) -> list[Action]:
         present = [i for i in group.members if i in hosts]
-        staying = [i for i in present if (group.name, i) not in self._let_go_at]
+        staying = [i for i in present if (group.name, i) not in self._left_at]
         if now - self._answered_at > REACHED_WITHIN:
-            # Nobody answers here. One order is enough to find out when that ends.
+            # No host answers this entry host. A single order suffices to detect when that changes.
             staying = staying[:1]
         orders = [Leave(group.name, group.epoch, i) for i in staying]
-        return [action for order in orders for action in self._once(now, order)]
+        return [action for order in orders for action in self._order_if_due(now, order)]
 
-    def _send_off_strays(
+    def _remove_unplanned_members(
         self, now: float, plan: DomainPlan, hosts: Mapping[Instance, TargetHost]
     ) -> list[Action]:
-        """Order hosts out of groups that are not planned: they came back, or joined late."""
+        """Order hosts to leave groups that are not planned: they reappeared, or joined late."""
         held = {i for g in plan.groups for i in g.members}
         actions: list[Action] = []
         for host in hosts.values():
@@ -283,27 +295,29 @@
             if host.instance in self._spares.warming:
                 continue
             membership = host.membership
-            actions += self._once(now, Leave(membership.group, membership.epoch, host.instance))
+            actions += self._order_if_due(
+                now, Leave(membership.group, membership.epoch, host.instance)
+            )
         return actions
 
     def _left(self, now: float, host: TargetHost) -> bool:
-        """Tell whether a host is in no group, by its entry or by its newer word."""
+        """Return whether a host is in no group, by its entry or by its own more recent report."""
         if host.membership is None:
             return True
-        at = self._let_go_at.get((host.membership.group, host.instance))
-        return at is not None and now - at < LET_GO_LASTS
+        at = self._left_at.get((host.membership.group, host.instance))
+        return at is not None and now - at < LEFT_REPORT_SECONDS
 
-    def _once(self, now: float, order: Order) -> list[Action]:
-        if not self._due(now, order):
+    def _order_if_due(self, now: float, order: Order) -> list[Action]:
+        if not self._is_due(now, order):
             return []
         self._ordered_at[type(order), order] = now
         return [order]
 
-    def _due(self, now: float, order: Order) -> bool:
-        # Tuples of different types are equal if their fields are: an order to open would count as
-        # given when its head had just been ordered to join.
+    def _is_due(self, now: float, order: Order) -> bool:
+        # Tuples of different types are equal if their fields are: without the type, an order to
+        # open would count as already sent if the head had just been ordered to join.
         at = self._ordered_at.get((type(order), order), float("-inf"))
-        return now - at >= ORDER_AGAIN
+        return now - at >= ORDER_REPEAT_SECONDS
 
     def _form_new(
         self,
@@ -311,29 +325,29 @@
         plan: DomainPlan,
         hosts: Mapping[Instance, TargetHost],
         needs: Sequence[ModelNeed],
-        first: Mapping[str, int] | None,
+        initial: Mapping[str, int] | None,
     ) -> tuple[DomainPlan, str] | None:
         free = self._free(now, plan, hosts)
-        sound = self._sound(plan)
-        aim = standard(plan.domain, len(hosts), needs)
+        fault_free = self._fault_free(plan)
+        desired = desired_composition(plan.domain, len(hosts), needs)
         reasons = []
         while True:
-            if first is not None:
-                need = next_first(plan, first, len(free), needs)
+            if initial is not None:
+                need = next_initial_model(plan, initial, len(free), needs)
             else:
                 staged = Counter(m for h in free for m in h.staged)
-                need = next_model(sound, staged, len(free), aim, needs)
+                need = next_model(fault_free, staged, len(free), desired, needs)
             if need is None:
                 break
             members = self._pick(free, need)
             plan = plan.with_group(need.model, members)
-            sound = sound._replace(groups=(*sound.groups, plan.groups[-1]))
+            fault_free = fault_free._replace(groups=(*fault_free.groups, plan.groups[-1]))
             free = [h for h in free if h.instance not in members]
             reasons.append(f"formed {plan.groups[-1].name} of {need.model}")
         return (plan, "; ".join(reasons)) if reasons else None
 
     def _pick(self, free: Sequence[TargetHost], need: ModelNeed) -> tuple[Instance, ...]:
-        """Return the free hosts that make up a group: those that join soonest."""
+        """Return the free hosts for a group, preferring those that join fastest."""
 
         def rank(host: TargetHost) -> tuple[bool, bool, Instance]:
             warm = self._spares.is_warm(host.instance, need.model)
@@ -344,7 +358,7 @@
     def _free(
         self, now: float, plan: DomainPlan, hosts: Mapping[Instance, TargetHost]
     ) -> list[TargetHost]:
-        """Return the hosts that may be given to a group."""
+        """Return the hosts that may be assigned to a group."""
         held = {i for g in plan.groups for i in g.members}
         return [
             h
@@ -356,12 +370,12 @@
             and now >= self._avoid_until.get(h.instance, 0.0)
         ]
 
-    def _sound(self, plan: DomainPlan) -> DomainPlan:
-        """Return the plan of the groups that have no fault."""
-        sound = tuple(g for g in plan.groups if g.name not in self._fault_since)
-        return plan._replace(groups=sound)
+    def _fault_free(self, plan: DomainPlan) -> DomainPlan:
+        """Return the plan with its fault-free groups only."""
+        fault_free = tuple(g for g in plan.groups if g.name not in self._fault_since)
+        return plan._replace(groups=fault_free)
 
-    def _prepare(
+    def _prepare_spares(
         self,
         now: float,
         plan: DomainPlan,
@@ -369,17 +383,17 @@
         needs: Sequence[ModelNeed],
         loads_free: bool,
     ) -> list[Action]:
-        """Have free hosts load weights and warm up, for the groups to come."""
-        aim = standard(plan.domain, len(hosts), needs)
-        left = self._left_over(now, plan, hosts)
-        wanted = loads_to_order(self._sound(plan), left, aim, needs)
+        """Order free hosts to load weights and warm up for future groups."""
+        desired = desired_composition(plan.domain, len(hosts), needs)
+        left = self._available_hosts(now, plan, hosts)
+        wanted = loads_to_order(self._fault_free(plan), left, desired, needs)
         loads = self._spares.load(now, wanted, loads_free)
         return [*loads, *self._spares.warm_up(now, plan, self._free(now, plan, hosts))]
 
-    def _left_over(
+    def _available_hosts(
         self, now: float, plan: DomainPlan, hosts: Mapping[Instance, TargetHost]
     ) -> list[FreeHost]:
-        """Return the hosts in no sound group, those that will be free in a moment among them."""
+        """Return the hosts in no fault-free group, including those that will be free shortly."""
         free = [self._spares.as_free(h, now) for h in self._free(now, plan, hosts)]
         faulty = [g for g in plan.groups if g.name in self._fault_since]
         soon = [
@@ -391,7 +405,7 @@
         return [*free, *soon]
 
 
-def _in(group: PlannedGroup, host: TargetHost) -> bool:
+def _is_member(group: PlannedGroup, host: TargetHost) -> bool:
     membership = host.membership
     return membership is not None and (membership.group, membership.epoch) == (
         group.name,
@@ -399,5 +413,5 @@
     )
 
 
-def _state(host: TargetHost) -> MemberState | None:
+def _member_state(host: TargetHost) -> MemberState | None:
     return None if host.membership is None else host.membership.state
--- a/src/oleanderhill/groups/inventory.py
+++ b/src/oleanderhill/groups/inventory.py
@@ -1,4 +1,4 @@
-"""What is known of target hosts from the platform's list: engines, plain targets, memberships."""
+"""Target hosts from the platform's host list: engines, plain targets and group memberships."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from typing import NamedTuple
 
 NAMES_KEPT = 4_000
-"""Hosts beyond those listed whose last start is remembered: five days of the 760 failures and
-restarts a day that are expected of the largest deployment. A write that lasted longer on its way is
-unheard of."""
+"""Maximum number of unlisted hosts whose latest start time is remembered. It covers five days of
+the 760 failures and restarts a day that are expected of the largest deployment; no write is known
+to have been delayed for longer."""
 
 
 class MemberState(StrEnum):
-    """Where a host stands in the group it reports."""
+    """State of a host in the group that it reports."""
 
     JOINING = "joining"
     READY = "ready"
@@ -24,7 +24,7 @@
 
 
 class Membership(NamedTuple):
-    """The group that a host reports to be in. Rank 0 is the head, which takes the requests."""
+    """The group that a host reports to be in. Rank 0 is the head, which accepts the requests."""
 
     group: str
     epoch: int
@@ -33,15 +33,15 @@
 
 
 class Instance(NamedTuple):
-    """One life of a target host, from a start of its process to its end.
+    """An incarnation of a target host: one run of its process from start to end.
 
-    A host may start again under the name that it had. It then holds nothing of before, and its
-    counts start anew: whatever is kept about a host is kept by this pair, so that nothing known
-    of one life is taken for the other.
+    A host may restart under the same name. It then has none of its earlier state, and its counters
+    start at zero. All data about a host is therefore keyed by this pair, so that data of one
+    incarnation is never applied to another.
 
     :param name: the platform's name of the host
-    :param born: Unix milliseconds of the start, 0 where the platform says none; there a restart
-        gets another name
+    :param born: start time in Unix milliseconds, or 0 if the platform does not report it; in that
+        case a restarted host gets a new name
     """
 
     name: str
@@ -52,11 +52,11 @@
 
 
 class TargetHost(NamedTuple):
-    """A target host in one life.
+    """An incarnation of a target host as listed.
 
-    :param slots: requests it runs at once
+    :param slots: number of requests it runs concurrently
     :param domain: fabric domain, empty for a target of a plain service
-    :param staged: models whose weights lie on the host
+    :param staged: models whose weights are on the host
     """
 
     instance: Instance
@@ -72,11 +72,11 @@
 
 
 class Taken(NamedTuple):
-    """What became of an entry.
+    """Result of adding an entry.
 
-    :param current: it was taken; ``False`` for one of a life that is over
-    :param before: the entry of the same life before it
-    :param ended: an earlier life under this name that was still listed
+    :param current: whether the entry was accepted; ``False`` if its incarnation has ended
+    :param before: previous entry of the same incarnation
+    :param ended: an earlier incarnation under this name that was still listed
     """
 
     current: bool
@@ -85,7 +85,7 @@
 
 
 class Removal(NamedTuple):
-    """A life whose entry is missing; ``gone`` is ``False`` while it may yet come back."""
+    """An incarnation whose entry is missing; ``gone`` is ``False`` while it may reappear."""
 
     instance: Instance
     address: str
@@ -93,14 +93,14 @@
 
 
 class Inventory:
-    """The hosts by instance, with a grace for those whose entry went while the store was away.
+    """The listed hosts by instance, with a grace period for entries lost in a store outage.
 
-    Entries lapse while the store is away, though their hosts live, and are back some time after
-    its return. Taken at their word, they would empty the list and with it every service.
+    During a store outage the entries of live hosts expire, and they reappear some time after the
+    store recovers. Removing such hosts immediately would leave every service without targets.
 
-    Beside the hosts by instance it keeps them by domain, with the number of the last change of
-    each. Of a thousand hosts a few change in a second: whoever works something out from hosts does
-    so for the domains that changed, in place of all of them at every reading.
+    Hosts are also indexed by domain, with the number of the last change of each domain. Of a
+    thousand hosts only a few change per second, so callers recompute derived data only for domains
+    that changed, rather than for all domains at every reading.
     """
 
     def __init__(self) -> None:
@@ -109,50 +109,50 @@
         self._last_change_by_domain: dict[str, int] = {}
         self._engines_by_service: Counter[str] = Counter()
         self.changes = 0
-        self._doubtful_until: dict[Instance, float] = {}
+        self._grace_until: dict[Instance, float] = {}
         self._life_by_name: dict[str, Instance] = {}
         self._newest_born: dict[str, int] = {}
         self._leaving: dict[Instance, None] = {}
-        self._doubt_ends = float("-inf")
+        self._grace_ends = float("-inf")
 
     def doubt(self, until: float) -> None:
-        """Take note that the store was away: entries that are missing may be back by a time."""
-        self._doubt_ends = max(self._doubt_ends, until)
+        """Record a store outage: entries that are missing may reappear until the given time."""
+        self._grace_ends = max(self._grace_ends, until)
 
     def put(self, host: TargetHost) -> Taken:
-        """Take a host's entry, unless a later life under its name is known.
+        """Add or update a host's entry, unless a later incarnation of the host is known.
 
-        A host that was cut off and started again may have an entry of its life before still on the
-        way. Taken, it would show the host in a group that it knows nothing of any more.
+        The entry of an earlier incarnation may arrive late, after the host was partitioned and
+        restarted. Accepted, it would list the host in a group that its new incarnation is not in.
         """
         instance = host.instance
         if instance.born < self._newest_born.get(instance.name, 0):
             return Taken(False, None, None)
-        # The name goes to the end: the first ones are those not heard of for the longest time.
+        # Move the name to the end, so that the names not seen for the longest time come first.
         self._newest_born.pop(instance.name, None)
         self._newest_born[instance.name] = instance.born
-        self._bound_names()
-        # A newer life proves the end of the older one, also while entries are in doubt.
+        self._evict_oldest_name()
+        # A newer incarnation proves that the older one has ended, also during the grace period.
         known = self.life_of(instance.name)
         ended = self.discard(instance.name) if known != instance else None
-        self._doubtful_until.pop(instance, None)
+        self._grace_until.pop(instance, None)
         before = self.by_instance.get(instance)
         if host.leaving:
             self._note_leaving(instance)
         elif instance in self._leaving:
-            # Its entry may be of before, or never say so.
+            # The entry may predate the host's report that it is leaving, or never show it.
             host = host._replace(leaving=True)
         if before != host:
             self._replace(before, host)
         self._life_by_name[instance.name] = instance
         return Taken(True, before, ended)
 
-    def leave(self, life: str) -> bool:
-        """Take a host's own word that it leaves, which holds until that life ends.
+    def leave(self, incarnation: str) -> bool:
+        """Record a host's own report that it is leaving, valid until the incarnation ends.
 
-        :return: whether the list shows that life
+        :return: whether that incarnation is listed
         """
-        host = self.host(life)
+        host = self.host(incarnation)
         if host is None:
             return False
         self._note_leaving(host.instance)
@@ -165,42 +165,42 @@
         if len(self._leaving) > NAMES_KEPT:
             del self._leaving[next(iter(self._leaving))]
 
-    def is_leaving(self, life: str) -> bool:
-        """Tell whether a life is known to leave, by its entry or its own word."""
-        host = self.host(life)
+    def is_leaving(self, incarnation: str) -> bool:
+        """Return whether an incarnation is leaving, by its entry or its own report."""
+        host = self.host(incarnation)
         return host is not None and host.leaving
 
     def life_of(self, name: str) -> Instance | None:
-        """Return the life of a host that the list shows."""
+        """Return the listed incarnation of a host."""
         return self._life_by_name.get(name)
 
-    def host(self, life: str) -> TargetHost | None:
-        """Return the host whose life has this text, if the list shows it."""
-        instance = self.life_of(life) or self.life_of(life.rpartition("@")[0])
-        return self.by_instance[instance] if instance and str(instance) == life else None
+    def host(self, incarnation: str) -> TargetHost | None:
+        """Return the listed host whose incarnation has this textual form."""
+        instance = self.life_of(incarnation) or self.life_of(incarnation.rpartition("@")[0])
+        return self.by_instance[instance] if instance and str(instance) == incarnation else None
 
     def remove(self, name: str, now: float) -> Removal | None:
-        """Take a host's end, ``None`` for one that was not listed."""
+        """Process a missing entry. Return ``None`` if the host was not listed."""
         instance = self.life_of(name)
         if instance is None:
             return None
-        if now < self._doubt_ends:
-            self._doubtful_until.setdefault(instance, self._doubt_ends)
+        if now < self._grace_ends:
+            self._grace_until.setdefault(instance, self._grace_ends)
             return Removal(instance, self.by_instance[instance].address, False)
         return self.discard(name)
 
     def discard(self, name: str) -> Removal | None:
-        """Drop a host at once, whatever is in doubt; ``None`` for one that was not listed."""
+        """Remove a host, ignoring any grace period. Return ``None`` if it was not listed."""
         instance = self._life_by_name.pop(name, None)
         if instance is None:
             return None
-        self._doubtful_until.pop(instance, None)
+        self._grace_until.pop(instance, None)
         address = self.by_instance[instance].address
         self._drop(instance)
         return Removal(instance, address, True)
 
     def replace(self, hosts: Iterable[TargetHost], now: float) -> list[Removal]:
-        """Take the whole list anew; return the lives that are gone."""
+        """Replace the list and return the incarnations that are gone."""
         found = list(hosts)
         listed = {h.instance.name for h in found}
         missing = [n for n in self._life_by_name if n not in listed]
@@ -208,15 +208,15 @@
         return [r for r in removals if r is not None and r.gone]
 
     def expire(self, now: float) -> list[Removal]:
-        """Drop the hosts whose entries did not come back in time."""
-        due = [i for i, until in self._doubtful_until.items() if now >= until]
+        """Remove the hosts whose entries did not reappear within the grace period."""
+        due = [i for i, until in self._grace_until.items() if now >= until]
         return [removal for i in due if (removal := self.discard(i.name)) is not None]
 
     def ended(self, instance: Instance) -> bool:
-        """Tell whether a life is surely over: the host started again since."""
+        """Return whether an incarnation is known to have ended because the host has restarted."""
         return instance.born < self._newest_born.get(instance.name, 0)
 
-    def _bound_names(self) -> None:
+    def _evict_oldest_name(self) -> None:
         if len(self._newest_born) > NAMES_KEPT + len(self._life_by_name):
             unlisted = (n for n in self._newest_born if n not in self._life_by_name)
             oldest = next(unlisted, None)
@@ -224,22 +224,23 @@
                 del self._newest_born[oldest]
 
     def in_domain(self, domain: str) -> Mapping[Instance, TargetHost]:
-        """Return the hosts of a fabric domain, of the empty one the plain targets."""
+        """Return the hosts of a fabric domain; the empty domain holds the plain targets."""
         return self._by_domain.get(domain, {})
 
     def domains(self) -> list[str]:
-        """Return the fabric domains that have hosts."""
+        """Return the fabric domains that have listed hosts."""
         return [d for d in self._by_domain if d]
 
     def last_change(self, domain: str) -> int:
-        """Return the number of the last change in a domain, 0 for one without hosts.
+        """Return the number of the last change in a domain, 0 if it has no hosts.
 
-        Equal numbers, equal hosts: no number comes twice, also where a domain goes and returns.
+        Equal numbers mean equal hosts: no number is reused, even if a domain disappears and
+        returns.
         """
         return self._last_change_by_domain.get(domain, 0)
 
     def engines(self, service: str) -> int:
-        """Return how many hosts of a service are in a fabric domain."""
+        """Return the number of hosts of a service that are in a fabric domain."""
         return self._engines_by_service[service]
 
     def _replace(self, before: TargetHost | None, host: TargetHost) -> None:
@@ -259,15 +260,16 @@
         del hosts[instance]
         self._count(host, -1)
         if not hosts:
-            # Anybody may write into the list: what is kept by the name of a domain goes with it.
+            # Any writer can add entries with arbitrary domain names, so data kept by domain is
+            # removed together with the domain.
             del self._by_domain[host.domain]
             del self._last_change_by_domain[host.domain]
 
-    def _count(self, host: TargetHost, by: int) -> None:
+    def _count(self, host: TargetHost, delta: int) -> None:
         self.changes += 1
         self._last_change_by_domain[host.domain] = self.changes
         if not host.domain:
             return
-        self._engines_by_service[host.service] += by
+        self._engines_by_service[host.service] += delta
         if not self._engines_by_service[host.service]:
             del self._engines_by_service[host.service]
--- a/src/oleanderhill/groups/owner.py
+++ b/src/oleanderhill/groups/owner.py
@@ -1,4 +1,4 @@
-"""The task that owns fabric domains: takes them, writes their plans, orders their hosts about."""
+"""The task that owns fabric domains: it takes them over, writes their plans and sends orders."""
 
 from __future__ import annotations
 
@@ -20,51 +20,53 @@
 from ..records import Records
 from ..settings.catalog import Catalog
 from .actions import Action, Order, OrderEnd, Replan
-from .composing import ModelNeed, first_mix
+from .composing import ModelNeed, initial_mix
 from .engine_hosts import EngineHosts, HostsByDomain
 from .forming import DomainKeeper
 from .inventory import Instance, Inventory
-from .ownership import Presence, owns, should_take, taken
+from .ownership import Presence, owns, should_take, taken_over
 from .pacing import LoadPacer
 from .plans import DomainPlan, PlannedGroup, encode_plan, plan_key, renewed
-from .probing import Rounds, silences
+from .probing import ProbeRounds, count_unanswered
 
-SETTLE = 1.5
-"""Seconds after the store's return in which no domain is taken: leases may have run out meanwhile,
-and the hosts behind them need a moment to be present again."""
+SETTLE_SECONDS = 1.5
+"""Seconds after the store recovers in which no domain is taken over: leases may have expired in the
+meantime, and their live holders need time to become present again."""
 
-LISTED_AFTER = 0.8
-"""Seconds without a new host after which the list counts as complete at the first start: 54 hosts
-show within 1.3 s, 222 within four, one every 20 ms."""
+LIST_SETTLED_AFTER = 0.8
+"""Seconds without a new host after which the list counts as complete at the first start. 54 hosts
+are listed within 1.3 s and 222 within four, one every 20 ms."""
 
 WRITE_AGAIN = 0.6
-"""Seconds after a write that failed in which the domain is let be: about one reading of the store,
-which shows whether the write was done. Without them an owner whose store refused at once wrote
-every 20 ms until its copy was too old: 61 times, each at its price and with a line of the log."""
+"""Seconds until a domain is processed again after a failed write: about one reading of the store,
+which shows whether the write took effect. Without this delay an owner whose store rejected calls
+immediately wrote every 20 ms until its copy was too old: 61 times, each with its cost and a log
+line."""
 
-LOOK_SOON = 0.02
-"""Seconds between news and the look at it, so that news that come together are looked at once."""
+REFRESH_DELAY = 0.02
+"""Seconds between an update and the refresh that it triggers, so that updates that arrive together
+are handled in one refresh."""
 
-LOOKS_APART = 20.0
-"""Times the length of a look that lie between two of them: looks at news take a twentieth of the
-processor at most, however many hosts are listed."""
+REFRESH_SPACING_FACTOR = 20.0
+"""Minimum interval between refreshes triggered by updates, as a multiple of the duration of the
+last one. It limits them to a twentieth of the processor, however many hosts are listed."""
 
 
 class Orders(Protocol):
-    """Gives orders to engine hosts."""
+    """Sends orders to engine hosts."""
 
     may_ask: Callable[[Instance], bool]
-    """Tells whether a host may be asked or ordered anything now."""
+    """Returns whether a host may be sent probes or orders now."""
 
     async def give(self, order: Order, address: str, term: int) -> OrderEnd:
-        """Give an order and return how it ended."""
+        """Send an order and return its outcome."""
 
     async def answers(self, instance: Instance, address: str) -> bool:
-        """Tell whether a host answers, in this life."""
+        """Return whether this incarnation of a host answers a probe."""
 
 
 class Limits(NamedTuple):
-    """Bounds that the owner keeps.
+    """Limits that the owner enforces.
 
     :param load_window: seconds in which ``load_factor`` times the allowed rate of loads, plus
         ``load_extra``, may begin
@@ -76,11 +78,12 @@
 
 
 class OwnerTask(Task):
-    """Owns the domains that fall to this entry host.
+    """Manages the domains that this entry host owns.
 
-    :param first_loads_free: tells whether loads don't count against the bound yet
-    :param is_suspect: tells whether a group was seen to stall, by this or another entry host
-    :param demand: returns a model's part of all groups, ``filled`` how many its requests fill now
+    :param first_loads_free: returns whether loads are still exempt from the rate limit
+    :param is_suspect: returns whether this or another entry host observed a group to stall
+    :param demand: returns a model's share of all groups
+    :param filled: returns how many of a model's groups its current requests fill
     """
 
     name = "owner"
@@ -121,58 +124,60 @@
         self._records = records
         self._keeper_by_domain: dict[str, DomainKeeper] = {}
         self._writing: set[str] = set()
-        self._write_again_at: dict[str, float] = {}
-        self._rounds = Rounds()
+        self._retry_write_at: dict[str, float] = {}
+        self._probe_rounds = ProbeRounds()
         self._engine_hosts = EngineHosts(inventory)
-        self._most_listed = 0
-        self._grew_at = float("-inf")
-        self._next_look: asyncio.TimerHandle | None = None
-        self._look_took = 0.0
+        self._max_listed = 0
+        self._list_grew_at = float("-inf")
+        self._next_refresh: asyncio.TimerHandle | None = None
+        self._refresh_duration = 0.0
 
     async def start(self) -> None:
-        """Start to look after domains."""
+        """Start the periodic refresh of domains."""
         self.spawn(self._tick_loop())
 
     def look_soon(self) -> None:
-        """Look at each domain in a moment, as something is new.
+        """Schedule a refresh of all domains because new information has arrived.
 
-        Each step of a group's repair waits for the one before: an order's end, a written plan, a
-        reading. Seen at the next look only, each costs half of the time between two.
+        Each step of a group's repair waits for the result of the previous one: the outcome of an
+        order, a written plan, a reading. Without this, each step would wait half the refresh
+        interval on average.
         """
-        if self._next_look is None:
-            wait = max(LOOK_SOON, self._look_took * LOOKS_APART)
-            self._next_look = asyncio.get_running_loop().call_later(wait, self._look_once)
+        if self._next_refresh is None:
+            wait = max(REFRESH_DELAY, self._refresh_duration * REFRESH_SPACING_FACTOR)
+            self._next_refresh = asyncio.get_running_loop().call_later(wait, self._run_refresh)
 
     async def tick(self) -> None:
-        """Look at each domain once."""
+        """Refresh each domain once."""
         began = time.monotonic()
         self._look_at_all()
-        self._look_took = time.monotonic() - began
+        self._refresh_duration = time.monotonic() - began
 
     async def stop(self) -> None:
-        """Give up whatever runs, and the next look, which the end of that may ask for."""
+        """Cancel the running work and then the next refresh, which the cancellation may
+        schedule."""
         await super().stop()
-        if self._next_look is not None:
-            self._next_look.cancel()
+        if self._next_refresh is not None:
+            self._next_refresh.cancel()
 
-    def _look_once(self) -> None:
-        self._next_look = None
+    def _run_refresh(self) -> None:
+        self._next_refresh = None
         self.spawn(self.tick())
 
     def _look_at_all(self) -> None:
         now = awake_or_not()
         catalog = self._catalog()
-        # A copy that is old is no base for orders: the plan may have another owner by now.
+        # An outdated copy must not lead to orders: the plan may have another owner by now.
         if catalog is None or not self._mirror.fresh(now):
             return
         alive = self._alive()
         hosts_by_domain = self._engine_hosts.by_domain(catalog)
-        self._rounds.forget_all_but({g.name for p in self._plans.by_key.values() for g in p.groups})
+        self._probe_rounds.retain({g.name for p in self._plans.by_key.values() for g in p.groups})
         for domain in sorted(hosts_by_domain):
-            if domain not in self._writing and now >= self._write_again_at.get(domain, 0.0):
-                self._look(now, domain, hosts_by_domain, alive, catalog)
+            if domain not in self._writing and now >= self._retry_write_at.get(domain, 0.0):
+                self._refresh_domain(now, domain, hosts_by_domain, alive, catalog)
 
-    def _look(
+    def _refresh_domain(
         self,
         now: float,
         domain: str,
@@ -187,14 +192,14 @@
                 reason = "the store was restored from a backup"
                 self._write(plan, revision, renewed(plan, self._generation()), reason)
                 return
-            self._keep(now, plan, revision, hosts_by_domain, catalog)
+            self._manage(now, plan, revision, hosts_by_domain, catalog)
             return
         self._keeper_by_domain.pop(domain, None)
-        settled = now - self._mirror.connected_since > SETTLE or held is None
+        settled = now - self._mirror.connected_since > SETTLE_SECONDS or held is None
         if settled and should_take(plan, self._me, alive):
-            self._write(plan, revision, taken(plan, self._me), f"owner {plan.owner!r} is gone")
+            self._write(plan, revision, taken_over(plan, self._me), f"owner {plan.owner!r} is gone")
 
-    def _keep(
+    def _manage(
         self,
         now: float,
         plan: DomainPlan,
@@ -203,81 +208,84 @@
         catalog: Catalog,
     ) -> None:
         hosts = hosts_by_domain[plan.domain]
-        needs = self._needs(plan.domain, catalog, {h.service for h in hosts.values()})
+        needs = self._model_needs(plan.domain, catalog, {h.service for h in hosts.values()})
         domains = len(hosts_by_domain)
         keeper = self._keeper_by_domain.get(plan.domain)
         if keeper is None:
-            keeper = DomainKeeper(self._pacer(catalog, needs, domains))
+            keeper = DomainKeeper(self._make_pacer(catalog, needs, domains))
             self._keeper_by_domain[plan.domain] = keeper
         keeper.pacer.share_among(domains)
         for group in plan.groups:
             if not self._is_suspect(group.name):
-                self._rounds.trust(group.name)
-            elif self._rounds.begin(group.name, now):
+                self._probe_rounds.clear(group.name)
+            elif self._probe_rounds.begin(group.name, now):
                 self.spawn(self._probe(group, keeper))
-        first = self._first_mix(now, plan.domain, hosts_by_domain, needs)
+        initial = self._initial_mix(now, plan.domain, hosts_by_domain, needs)
         members = {i for g in plan.groups for i in g.members}
-        ended = {i for i in members if self._inventory.ended(i)}
-        for action in keeper.decide(now, plan, hosts, needs, first, ended):
-            self._carry_out(action, plan, revision, keeper)
+        restarted = {i for i in members if self._inventory.ended(i)}
+        for action in keeper.decide(now, plan, hosts, needs, initial, restarted):
+            self._execute(action, plan, revision, keeper)
 
-    def _first_mix(
+    def _initial_mix(
         self, now: float, domain: str, hosts: HostsByDomain, needs: Sequence[ModelNeed]
     ) -> Mapping[str, int] | None:
-        """Return the first groups that a domain is to have, ``None`` once loads count.
+        """Return the initial groups for a domain, or ``None`` once loads are rate-limited.
 
-        At the first start hosts show one after the other. Groups made of those that show first
-        would be of the smallest model, and leave a large one without the hosts that it needs.
+        At the first start hosts appear one after the other. If groups were formed from the first
+        ones to appear, they would all be of the smallest model, and a large model would lack the
+        hosts that it needs.
         """
         if not self._first_loads_free():
             return None
         count_by_domain = {d: len(found) for d, found in hosts.items()}
         listed = sum(count_by_domain.values())
-        if listed > self._most_listed:
-            self._most_listed, self._grew_at = listed, now
-        if now - self._grew_at < LISTED_AFTER:
+        if listed > self._max_listed:
+            self._max_listed, self._list_grew_at = listed, now
+        if now - self._list_grew_at < LIST_SETTLED_AFTER:
             return {}
-        return first_mix(count_by_domain, needs).get(domain, {})
+        return initial_mix(count_by_domain, needs).get(domain, {})
 
     async def _probe(self, group: PlannedGroup, keeper: DomainKeeper) -> None:
-        """Ask all members of a group that was seen to stall whether they are there.
+        """Probe all members of a group that was observed to stall.
 
-        One that is lost shows in the host list only after three heartbeats, and at the head after
-        a stall; asking finds it in a second. Each member is asked: those that answer show that it
-        is not this entry host that is cut off.
+        The host list shows a lost member only after three missed heartbeats, and the head only
+        after a stall; probes detect it within a second. All members are probed, because answers
+        from the others show that this entry host is not the one that is partitioned.
         """
         silent = False
         try:
             listed = [i for i in group.members if i in self._inventory.by_instance]
-            known = [i for i in listed if self._orders.may_ask(i)]
-            asked = [silences(partial(self._answers, i)) for i in known]
-            for instance, unanswered in zip(known, await asyncio.gather(*asked), strict=True):
+            contactable = [i for i in listed if self._orders.may_ask(i)]
+            probes = [count_unanswered(partial(self._probe_host, i)) for i in contactable]
+            for instance, unanswered in zip(
+                contactable, await asyncio.gather(*probes), strict=True
+            ):
                 keeper.probed(instance, unanswered, awake_or_not())
                 if unanswered:
                     silent = True
                     self._records.note("probe", "silent", instance=str(instance), group=group.name)
         finally:
-            self._rounds.end(group.name, silent, awake_or_not())
+            self._probe_rounds.end(group.name, silent, awake_or_not())
             self.look_soon()
 
-    async def _answers(self, instance: Instance) -> bool:
+    async def _probe_host(self, instance: Instance) -> bool:
         host = self._inventory.by_instance.get(instance)
         return host is not None and await self._orders.answers(instance, host.address)
 
-    def _pacer(self, catalog: Catalog, needs: Sequence[ModelNeed], domains: int) -> LoadPacer:
+    def _make_pacer(self, catalog: Catalog, needs: Sequence[ModelNeed], domains: int) -> LoadPacer:
         engines = [
             s.engine
             for s in catalog.service_by_name.values()
             if s.engine is not None and any(n.model in s.engine.model_by_name for n in needs)
         ]
         rate = min((e.loads_per_second for e in engines), default=1.0)
-        at_once = min((e.loads_at_once for e in engines), default=1)
+        max_concurrent = min((e.loads_at_once for e in engines), default=1)
         limits = self._limits
         per_window = rate * limits.load_window * limits.load_factor + limits.load_extra
-        return LoadPacer(per_window, limits.load_window, domains, at_once)
+        return LoadPacer(per_window, limits.load_window, domains, max_concurrent)
 
-    def _needs(self, domain: str, catalog: Catalog, services: set[str]) -> list[ModelNeed]:
-        """Return the models of the services that have hosts in a domain."""
+    def _model_needs(self, domain: str, catalog: Catalog, services: set[str]) -> list[ModelNeed]:
+        """Return the demand for the models of the services that have hosts in a domain."""
         others = [p for p in self._plans.by_key.values() if p.domain != domain]
         planned = Counter(g.model for p in others for g in p.groups)
         shapes = [s for n in sorted(services) if (s := catalog.service_by_name.get(n)) is not None]
@@ -296,7 +304,7 @@
             for model in service.engine.model_by_name.values()
         ]
 
-    def _carry_out(
+    def _execute(
         self, action: Action, plan: DomainPlan, revision: Revision, keeper: DomainKeeper
     ) -> None:
         if isinstance(action, Replan):
@@ -306,9 +314,9 @@
         if host is None:
             keeper.ended(action, OrderEnd.SILENT, awake_or_not())
             return
-        self.spawn(self._give(action, host.address, plan, keeper))
+        self.spawn(self._send_order(action, host.address, plan, keeper))
 
-    async def _give(
+    async def _send_order(
         self, order: Order, address: str, plan: DomainPlan, keeper: DomainKeeper
     ) -> None:
         end = await self._orders.give(order, address, plan.term)
@@ -327,7 +335,7 @@
         self.look_soon()
 
     def _generation(self) -> int:
-        """Return the generation of the store that was last read."""
+        """Return the generation of the store at the latest reading."""
         return 0 if self._mirror.log.revision is None else self._mirror.log.revision.generation
 
     def _write(self, plan: DomainPlan, revision: Revision, new: DomainPlan, reason: str) -> None:
@@ -338,12 +346,12 @@
         self.spawn(self._commit(revision, written, reason))
 
     async def _commit(self, revision: Revision, plan: DomainPlan, reason: str) -> None:
-        """Write a plan. Without an answer nothing is done: the next reading shows what holds."""
+        """Write a plan. If there is no answer, the next reading shows whether it took effect."""
         key = plan_key(plan.domain)
         try:
             written = await self._storage.commit({key: revision}, [Write(key, encode_plan(plan))])
             outcome = "written"
-            self._write_again_at.pop(plan.domain, None)
+            self._retry_write_at.pop(plan.domain, None)
             if is_successful(written):
                 self._plans.put(key, encode_plan(plan), written.unwrap())
             else:
@@ -353,7 +361,7 @@
                     for item in error.held.values():
                         self._plans.put(item.key, item.value, item.revision)
                 else:
-                    self._write_again_at[plan.domain] = awake_or_not() + WRITE_AGAIN
+                    self._retry_write_at[plan.domain] = awake_or_not() + WRITE_AGAIN
             self._records.note(
                 "plan",
                 outcome,
--- a/src/oleanderhill/groups/ownership.py
+++ b/src/oleanderhill/groups/ownership.py
@@ -1,4 +1,4 @@
-"""Who gives orders in which fabric domain: spread over the entry hosts that are alive."""
+"""Assignment of fabric domains to owners among the entry hosts that are alive."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 STRONG = 0.5
-"""Part of the strongest machine's strength from which on a machine counts as strong: machines of
-one kind differ by less, the kinds of a fleet by more."""
+"""Fraction of the highest strength from which a machine counts as strong. Machines of the same type
+differ by less than this, machine types in a fleet by more."""
 
 
 class Presence(NamedTuple):
-    """An entry host that is alive: its key lies in the store under a lease.
+    """An entry host that is alive: its key is held in the store by a lease.
 
-    :param life: names this start of its process
-    :param address: ``ip:port`` at which it takes datagrams from its peers
-    :param strength: of its machine against the others', 0 where that is not known
+    :param life: identifies the incarnation of its process
+    :param address: ``ip:port`` at which it receives datagrams from its peers
+    :param strength: of its machine relative to the others, 0 if unknown
     """
 
     name: str
@@ -34,54 +34,55 @@
 
 
 def presence_key(name: str) -> str:
-    """Return the key of an entry host's presence."""
+    """Return the store key of an entry host's presence."""
     return PRESENCE_PREFIX + name
 
 
 def encode_presence(presence: Presence) -> bytes:
-    """Return a presence as bytes."""
+    """Encode a presence."""
     return msgspec.json.encode(presence)
 
 
 def decode_presence(data: bytes) -> Presence:
-    """Return a presence from bytes.
+    """Decode a presence.
 
-    :raises msgspec.DecodeError: if they are malformed
+    :raises msgspec.DecodeError: if the data is malformed
     """
     return msgspec.json.decode(data, type=Presence)
 
 
 def ranked(key: str, presences: Iterable[Presence], count: int = 1) -> tuple[str, ...]:
-    """Return the names of the entry hosts that take a duty, best first: strong ones before others.
+    """Return the entry hosts to use for a role, in order of preference, strong machines first.
 
-    What one host does for many takes a strong machine: after a power failure all neighbours of a
-    reader ask it for the whole content at once, and refuse their callers until they have it.
+    A role that serves many hosts needs a strong machine: after a power failure all neighbours of a
+    reader request the full content from it concurrently, and reject their callers until they
+    receive it.
     """
     found = list(presences)
-    enough = STRONG * max((p.strength for p in found), default=0.0)
-    strong = [p.name for p in found if p.strength >= enough]
-    weak = [p.name for p in found if p.strength < enough]
+    threshold = STRONG * max((p.strength for p in found), default=0.0)
+    strong = [p.name for p in found if p.strength >= threshold]
+    weak = [p.name for p in found if p.strength < threshold]
     return (*rendezvous(key, strong, count), *rendezvous(key, weak, count))[:count]
 
 
 def preferred_owner(domain: str, alive: Mapping[str, Presence]) -> str:
-    """Return the entry host that takes a domain without an owner."""
+    """Return the entry host that should take over a domain without an owner."""
     return ranked(domain, alive.values())[0]
 
 
 def owns(plan: DomainPlan, me: Presence) -> bool:
-    """Tell whether this life of this entry host may give orders in a domain."""
+    """Return whether this incarnation of the entry host may give orders in a domain."""
     return (plan.owner, plan.owner_life) == (me.name, me.life)
 
 
 def should_take(plan: DomainPlan, me: Presence, alive: Mapping[str, Presence]) -> bool:
-    """Tell whether this entry host is to take a domain: its owner is gone, and it is next."""
+    """Return whether this host should take over a domain, because its owner is gone."""
     owner = alive.get(plan.owner)
     if owner is not None and owner.life == plan.owner_life:
         return False
     return me.name in alive and preferred_owner(plan.domain, alive) == me.name
 
 
-def taken(plan: DomainPlan, me: Presence) -> DomainPlan:
-    """Return the plan as its new owner writes it; the higher term shuts out the last owner."""
+def taken_over(plan: DomainPlan, me: Presence) -> DomainPlan:
+    """Return the plan under a new owner; the higher term fences off the previous owner."""
     return plan._replace(owner=me.name, owner_life=me.life, term=plan.term + 1)
--- a/src/oleanderhill/groups/plans.py
+++ b/src/oleanderhill/groups/plans.py
@@ -1,8 +1,8 @@
-"""The plan of one fabric domain: which groups there are and who may order hosts about.
+"""The plan of a fabric domain: its groups and its owner.
 
-The plan is one value under one key of the store and changes by compare-and-swap only, so two
-owners can't give a host to two groups. A group stands in it before the first host is ordered to
-join, and leaves it only once its head is known not to serve.
+A plan is one value under one key of the store and changes only by compare-and-swap, so two owners
+cannot assign a host to two groups. A group is added to the plan before the first host is ordered to
+join, and is removed only after its head is known to have stopped serving.
 """
 
 from __future__ import annotations
@@ -17,22 +17,24 @@
 
 
 TERMS_LEFT_OUT = 100
-"""Terms that may have been given out between a backup of the store and its return."""
+"""Terms to skip after a restore: upper bound on those assigned since the backup."""
 
 EPOCHS_LEFT_OUT = 1_000
-"""Epochs that may have been given out between a backup of the store and its restore: a domain forms
-a few groups a second at most, and a backup is some seconds old."""
+"""Epochs to skip after a restore: upper bound on those assigned since the backup. A domain forms a
+few groups per second at most, and a backup is some seconds old."""
 
 
 PLANS_OUTLAST = 60.0
-"""Seconds for which a plan is kept that a restored store does not have; its owner, or who takes the
-domain, writes it again within two."""
+"""Seconds for which a plan that is missing from a restored store is retained. Its owner, or the
+host that takes the domain over, writes it again within two seconds."""
 
 
 class PlannedGroup(NamedTuple):
-    """A group; ``members[0]`` is its head. Members are lives, so a restarted host is another.
+    """A group; ``members[0]`` is its head.
 
-    :param epoch: of the domain's plan; rises with each group, so that it also names the group
+    Members are incarnations of hosts, so a restarted host is a different member.
+
+    :param epoch: increases with each group of the domain, so it also identifies the group
     """
 
     name: str
@@ -42,19 +44,20 @@
 
     @property
     def head(self) -> Instance:
-        """Return the instance that takes requests."""
+        """Return the member that accepts the group's requests."""
         return self.members[0]
 
 
 class DomainPlan(NamedTuple):
     """The plan of a domain.
 
-    :param owner: entry host that may give orders; ``owner_life`` is the start of it that may
-    :param term: rises with each take-over; the fencing number of the owner's orders
-    :param last_epoch: epoch of the latest group
-    :param generation: of the store, in which it was last written
-    :param version: counts the writes of its owners
-    :param write_id: of the latest write, by which its writer knows it again when its answer is lost
+    :param owner: entry host that may give orders; ``owner_life`` is its incarnation
+    :param term: increases with each take-over; fencing token of the owner's orders
+    :param last_epoch: epoch of the newest group
+    :param generation: generation of the store in which the plan was last written
+    :param version: number of writes by its owners
+    :param write_id: identifies the latest write, so that its writer recognises it if the answer to
+        the write is lost
     """
 
     domain: str
@@ -68,30 +71,31 @@
     version: int = 0
 
     def with_group(self, model: str, members: tuple[Instance, ...]) -> DomainPlan:
-        """Return the plan with one more group."""
+        """Return the plan with a new group added."""
         epoch = self.last_epoch + 1
         group = PlannedGroup(f"{self.domain}.{epoch}", epoch, model, members)
         return self._replace(last_epoch=epoch, groups=(*self.groups, group))
 
     def without_group(self, name: str) -> DomainPlan:
-        """Return the plan without a group."""
+        """Return the plan with a group removed."""
         return self._replace(groups=tuple(g for g in self.groups if g.name != name))
 
 
 def outlasts(held: DomainPlan, read: DomainPlan) -> bool:
-    """Tell whether a plan that is held is newer than one of a restored store.
+    """Return whether the plan held in memory is newer than the one read from a restored store.
 
-    One that was written since the store came back holds, whatever it was made from: its owner has
-    given orders by it.
+    A plan written since the restore takes precedence, whatever it was based on, because its owner
+    has already given orders under it.
     """
     return (held.generation, held.term, held.version) > (read.generation, read.term, read.version)
 
 
 def renewed(plan: DomainPlan, generation: int) -> DomainPlan:
-    """Return a plan as it is written in a new generation of the store.
+    """Return a plan as it is to be written in a new generation of the store.
 
-    Terms and epochs that were given out after the backup are known to engine hosts, and to nobody
-    else perhaps. Given out again they would stand for other owners and groups; some are left out.
+    Engine hosts may know terms and epochs that were assigned after the backup, while the restored
+    store does not. Reused, they would identify other owners and groups, so a range of them is
+    skipped.
     """
     if not plan.last_epoch:
         return plan._replace(generation=generation)
@@ -103,18 +107,18 @@
 
 
 def plan_key(domain: str) -> str:
-    """Return the key under which a domain's plan lies in the store."""
+    """Return the store key of a domain's plan."""
     return PLAN_PREFIX + domain
 
 
 def encode_plan(plan: DomainPlan) -> bytes:
-    """Return a plan as bytes."""
+    """Encode a plan."""
     return msgspec.json.encode(plan)
 
 
 def decode_plan(data: bytes) -> DomainPlan:
-    """Return a plan from bytes.
+    """Decode a plan.
 
-    :raises msgspec.DecodeError: if they are malformed
+    :raises msgspec.DecodeError: if the data is malformed
     """
     return msgspec.json.decode(data, type=DomainPlan)
--- a/src/oleanderhill/groups/presence.py
+++ b/src/oleanderhill/groups/presence.py
@@ -1,4 +1,4 @@
-"""This entry host's presence in the store, and who else is there."""
+"""The presence of this entry host in the store, and the entry hosts that are present."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
 from .ownership import Presence, encode_presence, presence_key
 
 LEASE_SECONDS = 3.0
-"""Seconds after which an entry host that is not heard of counts as gone. Shorter, a slow store
-would end leases of hosts that live; longer, a domain stays without an owner."""
+"""Lease duration in seconds. A shorter lease would expire for live hosts when the store is slow; a
+longer one would leave the domains of a failed host without an owner for longer."""
 
-RENEW_EVERY = 0.9
-"""Seconds between renewals: two may be lost before the lease ends."""
+RENEW_INTERVAL = 0.9
+"""Seconds between renewals, so that two may be lost before the lease expires."""
 
 
 FIRST_RETRY = 0.3
-"""Seconds after a first failed call: one answer that was lost must not end a lease."""
+"""Seconds until the first retry. A single lost answer must not let the lease expire."""
 
 LONGEST_RETRY = 1.0
-"""Seconds between calls to a store that goes on failing. Refused calls have their price too, and a
-third of the hosts may be turned away for many seconds. A host is present again within as much of
-the store's return, before its domains are taken by others."""
+"""Maximum seconds between retries. Rejected calls cost resources too, and the store may reject a
+third of the hosts for many seconds. A host must be present again within this time after the store
+recovers, before other hosts take over its domains."""
 
 
 def retry_after(failures: int) -> float:
-    """Return the seconds to wait after so many failed calls in a row."""
+    """Return the delay in seconds after a number of consecutive failures."""
     return min(LONGEST_RETRY, FIRST_RETRY * 2.0 ** min(failures - 1, 4))
 
 
 class PresenceTask(Task):
-    """Owns the lease and the presence key of this process."""
+    """Maintains the lease and the presence key of this process."""
 
     name = "presence"
 
@@ -67,28 +67,28 @@
         self._alive_at = -1
 
     async def start(self) -> None:
-        """Start to hold the lease."""
-        self.spawn(self._hold())
+        """Start to acquire and renew the lease."""
+        self.spawn(self._hold_lease())
 
     async def withdraw(self) -> None:
-        """End the lease, so that others take over at once."""
+        """End the lease, so that other hosts take over immediately."""
         if self._lease is not None:
             await self._storage.end(self._lease)
 
     def alive(self) -> dict[str, Presence]:
-        """Return the entry hosts that are there, by name: the same mapping until they change."""
+        """Return the present entry hosts by name; the mapping is reused until they change."""
         if self._alive_at != self._copy.changes:
             self._alive_at = self._copy.changes
             self._alive = {p.name: p for p in self._copy.by_key.values()}
         return self._alive
 
-    async def _hold(self) -> None:
+    async def _hold_lease(self) -> None:
         failures = 0
         while True:
             lease = self._lease
-            held = await self._begin() if lease is None else await self._renew(lease)
+            held = await self._acquire_lease() if lease is None else await self._renew(lease)
             failures = 0 if held else failures + 1
-            wait = RENEW_EVERY if held else retry_after(failures)
+            wait = RENEW_INTERVAL if held else retry_after(failures)
             await asyncio.sleep(wait * (0.8 + 0.2 * self._rng.random()))
 
     async def _renew(self, lease: Lease) -> bool:
@@ -98,23 +98,24 @@
         if isinstance(renewed.failure(), LeaseEndedError):
             self._records.note("presence", "lease ended", lease=lease)
             self._lease = None
-            return await self._begin()
+            return await self._acquire_lease()
         return False
 
-    async def _begin(self) -> bool:
+    async def _acquire_lease(self) -> bool:
         granted = await self._storage.grant(LEASE_SECONDS)
         if not is_successful(granted):
             return False
         lease = granted.unwrap()
-        if await self._appear(lease):
+        if await self._write_presence(lease):
             self._lease = lease
             return True
-        # A lease without a key holds nothing; left to run out, each failed try would leave one.
+        # End the unused lease: otherwise each failed attempt would leave one in the store until it
+        # expires.
         await self._storage.end(lease)
         return False
 
-    async def _appear(self, lease: Lease) -> bool:
-        """Write this host's key under a lease."""
+    async def _write_presence(self, lease: Lease) -> bool:
+        """Write this host's presence key under a lease."""
         key = presence_key(self.me.name)
         held = self._copy.get(key)
         revision = held[1] if held is not None else NEVER
--- a/src/oleanderhill/groups/probing.py
+++ b/src/oleanderhill/groups/probing.py
@@ -1,69 +1,71 @@
-"""Asking the hosts of a group that may have lost one whether they are there, and how often."""
+"""Probes of the members of a suspected group, and their schedule."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection
 
-ASK_AGAIN = 0.1
-"""Seconds after which a question without an answer is asked once more, beside the first. A host
-answers in a few ms. One after the other, with 0.4 s for each, two questions found a lost member
-half a second later, in which its group's requests stall."""
+SECOND_PROBE_DELAY = 0.1
+"""Seconds after which a second probe is sent concurrently with an unanswered first one. A host
+answers in a few milliseconds. Two sequential probes with a timeout of 0.4 s each detected a lost
+member half a second later, while requests of its group stalled."""
 
-ROUND_PAUSE = 0.1
-"""Seconds between two rounds of questions to a group that has a silent member."""
+ROUND_INTERVAL = 0.1
+"""Seconds between probe rounds of a group with a silent member."""
 
 LONGEST_PAUSE = 0.8
-"""Seconds between two rounds at most: a member that is lost after all answered is found within it,
-while its entry would show it in three heartbeats, over three seconds."""
+"""Maximum seconds between probe rounds. A member that fails after all have answered is detected
+within this time; its missing heartbeats would show only after three intervals, over three
+seconds."""
 
 
-class Rounds:
-    """When the members of a suspected group are asked again.
+class ProbeRounds:
+    """Schedules the probe rounds of suspected groups.
 
-    A group is suspected for two seconds after a request of anybody stalled in it. Most such groups
-    are whole, and busy. Asked every 0.1 s, the 32 members of each got twenty rounds of questions;
-    in a fleet of 1,095 hosts that was one question for each request, each with its price at the
-    host. A lost member shows in the first round; while all answer, the pauses double.
+    A group is suspected for two seconds after any request stalls in it. Most suspected groups are
+    complete and merely busy. With a fixed interval of 0.1 s, each of the 32 members of a group
+    received twenty probes; in a fleet of 1,095 hosts that was one probe per request, each at a cost
+    to the host. A lost member is detected in the first round, so the interval doubles while all
+    members answer.
     """
 
     def __init__(self) -> None:
-        self._asking: set[str] = set()
+        self._in_progress: set[str] = set()
         self._pause: dict[str, float] = {}
         self._next_at: dict[str, float] = {}
 
     def begin(self, group: str, now: float) -> bool:
-        """Tell whether a suspected group is to be asked now; it then counts as being asked."""
-        if group in self._asking or now < self._next_at.get(group, float("-inf")):
+        """Return whether to probe a suspected group now, and if so start a round."""
+        if group in self._in_progress or now < self._next_at.get(group, float("-inf")):
             return False
-        self._asking.add(group)
+        self._in_progress.add(group)
         return True
 
     def end(self, group: str, silent: bool, now: float) -> None:
-        """Take note of the end of a round, and whether a member was silent."""
-        self._asking.discard(group)
-        pause = ROUND_PAUSE if silent else self._pause.get(group, ROUND_PAUSE)
+        """Record the end of a round and whether a member did not answer."""
+        self._in_progress.discard(group)
+        pause = ROUND_INTERVAL if silent else self._pause.get(group, ROUND_INTERVAL)
         self._next_at[group] = now + pause
-        self._pause[group] = ROUND_PAUSE if silent else min(LONGEST_PAUSE, 2 * pause)
+        self._pause[group] = ROUND_INTERVAL if silent else min(LONGEST_PAUSE, 2 * pause)
 
-    def forget_all_but(self, planned: Collection[str]) -> None:
-        """Drop what is kept of groups that are planned no more."""
+    def retain(self, planned: Collection[str]) -> None:
+        """Discard the state of groups that are no longer planned."""
         for group in [g for g in self._next_at if g not in planned]:
-            self.trust(group)
+            self.clear(group)
 
-    def trust(self, group: str) -> None:
-        """Take note that a group is not suspected: the next suspicion is asked about at once."""
+    def clear(self, group: str) -> None:
+        """Reset a group that is not suspected; the next suspicion starts a round immediately."""
         self._pause.pop(group, None)
         self._next_at.pop(group, None)
 
 
-async def silences(ask: Callable[[], Awaitable[bool]]) -> int:
-    """Return how many questions a host left unanswered, 0 if it answered one.
+async def count_unanswered(ask: Callable[[], Awaitable[bool]]) -> int:
+    """Probe a host up to twice; return the number of unanswered probes, 0 if it answered one.
 
-    :param ask: asks once, on a connection of its own, and returns whether an answer came in time
+    :param ask: sends one probe on its own connection and returns whether it was answered in time
     """
     first = asyncio.ensure_future(ask())
-    await asyncio.wait({first}, timeout=ASK_AGAIN)
+    await asyncio.wait({first}, timeout=SECOND_PROBE_DELAY)
     if first.done() and first.result():
         return 0
     second, first_answered = await asyncio.gather(ask(), first)
--- a/src/oleanderhill/groups/readers.py
+++ b/src/oleanderhill/groups/readers.py
@@ -1,9 +1,10 @@
-"""Which entry host reads the store, and where each of the others reads.
+"""Selection of the entry host that reads the store, and of the source each other host reads from.
 
 One entry host, the main reader, reads the store for all. In each other data centre one host, the
-reader there, asks the main reader, and its neighbours ask it. No promise hangs on any of them.
-Whoever gets no answer in time asks the store itself, and where the store turns a host away, a
-reader elsewhere. A reader makes up to four calls a second, whatever the number of entry hosts.
+local reader, polls the main reader, and the other hosts of that data centre poll it. No guarantee
+depends on any reader. A host that gets no answer in time reads the store itself, and if the store
+rejects it, asks a reader in another data centre. A reader makes up to four calls a second,
+regardless of the number of entry hosts.
 """
 
 from __future__ import annotations
@@ -22,27 +23,29 @@
 from ..records import Records
 from .ownership import PRESENCE_PREFIX, Presence, ranked
 
-AVOID_SILENT = 2.0
-"""Seconds for which an entry host that was silent is not asked. A reader that is gone loses its
-lease within three, and another is in its place."""
+AVOID_SILENT_SECONDS = 2.0
+"""Seconds for which an entry host that did not answer is not asked. A failed reader loses its lease
+within three seconds and is then replaced."""
 
-AVOID_EMPTY = 1.0
-"""Seconds for which a reader that can't read the store itself is not asked."""
+AVOID_EMPTY_SECONDS = 1.0
+"""Seconds for which a reader that cannot read the store itself is not asked."""
 
-AVOID_STORE = 2.0
-"""Seconds for which a host that has others to ask leaves a store alone that failed. Refused calls
-have their price too. The readers go on asking, and who asks them hears of the return at once."""
+AVOID_STORE_SECONDS = 2.0
+"""Seconds for which a host that can ask peers does not call a failed store. Rejected calls cost
+resources too. Readers keep calling the store, and hosts that poll them learn immediately when it
+recovers."""
 
 URGENT = 0.3
-"""Seconds after a peer had no answer in which the store goes first: waiting for it has used up most
-of the time within which a change must be in force. A reader whose main reader is frozen says that
-it has nothing after 0.85 s; asking the frozen one next would take 1.1 s more, of 2 s."""
+"""Seconds after a peer failed to answer in which the store is tried first. The wait for the peer
+has used most of the time within which a change must take effect. A reader whose main reader is
+frozen reports after 0.85 s that it has no reading; asking the frozen one next would take another
+1.1 s, out of 2 s."""
 
 
 def reader_of(data_centre: str, alive: Mapping[str, Presence]) -> Presence | None:
     """Return the entry host that reads the store for a data centre."""
-    near = [p for p in alive.values() if p.data_centre == data_centre]
-    names = ranked(f"reader/{data_centre}", near)
+    local = [p for p in alive.values() if p.data_centre == data_centre]
+    names = ranked(f"reader/{data_centre}", local)
     return alive[names[0]] if names else None
 
 
@@ -53,10 +56,11 @@
 
 
 def peers_to_ask(me: Presence, alive: Mapping[str, Presence]) -> list[Presence]:
-    """Return whom a host asks: the reader of its data centre or, being that, the main reader.
+    """Return the peers to ask, in order.
 
-    Then one elsewhere, for a host that the store turns away: the main reader, or where it is of
-    this data centre another.
+    The first is the reader of the host's data centre or, for that reader itself, the main reader.
+    The second is a reader in another data centre, for a host that the store rejects: the main
+    reader, or another one if the main reader is in the same data centre.
     """
     own, main = reader_of(me.data_centre, alive), main_reader(alive)
     data_centres = sorted({p.data_centre for p in alive.values()} - {me.data_centre})
@@ -67,17 +71,17 @@
 
 
 def reads_store(me: Presence, alive: Mapping[str, Presence]) -> bool:
-    """Tell whether a host reads the store for all."""
+    """Return whether a host is the main reader."""
     main = main_reader(alive)
     return main is None or main.name == me.name
 
 
 class ReadingSources:
-    """Puts the sources in order for this host.
+    """Orders the sources of readings for this host.
 
-    :param entries: the entry hosts' presences, kept by the mirror
-    :param held: returns the revisions held of the keys whose currency is proved, by key
-    :param prove: takes the time at which what is held was the newest
+    :param entries: presences of the entry hosts, as cached by the mirror
+    :param held: returns the cached revisions, by key, of the keys that freshness checks cover
+    :param prove: called with the time at which the cached data was verified to be current
     """
 
     def __init__(
@@ -97,26 +101,27 @@
         self._entries = entries
         self._caller = caller
         self._avoid_until: dict[str, float] = {}
-        self._urgent_until = float("-inf")
+        self._store_first_until = float("-inf")
         self._introduced = False
         self._reads_store = False
         self._peers: Sequence[Source] = ()
         self._entries_seen = -1
 
     async def in_order(self, now: float) -> Sequence[Source]:
-        """Return the sources to try, without those to be left alone for a while."""
+        """Return the sources to try, without those that are temporarily avoided."""
         if not self._introduced:
-            await self._introduce(now)
-        self._look_around()
+            await self._load_presences(now)
+        self._update_peers()
         if self._reads_store:
-            # A reader must be the first to know when the store is back, and never leaves it alone.
-            return [self._store, *self._sound(self._peers, now)]
-        if now < self._urgent_until:
-            return self._sound([self._store, *self._peers], now)
-        return self._sound([*self._peers, self._store], now)
-
-    def _look_around(self) -> None:
-        """Work out who reads, where the entry hosts have changed since."""
+            # The main reader must be the first to detect that the store has recovered, so it never
+            # avoids it.
+            return [self._store, *self._not_avoided(self._peers, now)]
+        if now < self._store_first_until:
+            return self._not_avoided([self._store, *self._peers], now)
+        return self._not_avoided([*self._peers, self._store], now)
+
+    def _update_peers(self) -> None:
+        """Recompute the readers if the entry hosts have changed."""
         if self._entries_seen == self._entries.changes:
             return
         self._entries_seen = self._entries.changes
@@ -127,19 +132,21 @@
         ]
 
     def failed(self, source: Source, error: StoreError, now: float) -> None:
-        """Take note that a source had no answer."""
+        """Record that a source did not answer."""
         if source is self._store:
-            seconds = AVOID_STORE
+            seconds = AVOID_STORE_SECONDS
         else:
-            seconds = AVOID_EMPTY if isinstance(error, NoReadingError) else AVOID_SILENT
-            self._urgent_until = now + URGENT
+            seconds = (
+                AVOID_EMPTY_SECONDS if isinstance(error, NoReadingError) else AVOID_SILENT_SECONDS
+            )
+            self._store_first_until = now + URGENT
         self._avoid_until[source.name] = now + seconds
 
-    def _sound(self, sources: Sequence[Source], now: float) -> list[Source]:
+    def _not_avoided(self, sources: Sequence[Source], now: float) -> list[Source]:
         return [s for s in sources if now >= self._avoid_until.get(s.name, 0.0)]
 
-    async def _introduce(self, now: float) -> None:
-        """Learn who is there, so that a host that starts can ask a peer for all the rest."""
+    async def _load_presences(self, now: float) -> None:
+        """Load the presences, so that a starting host can read everything else from a peer."""
         found = await self._storage.list(PRESENCE_PREFIX)
         if is_successful(found):
             self._entries.replace(found.unwrap().items, now)
--- a/src/oleanderhill/groups/router.py
+++ b/src/oleanderhill/groups/router.py
@@ -1,4 +1,4 @@
-"""Which groups may be sent requests now: a pure function of plans and inventory."""
+"""Selection of the groups that may receive requests, computed from plans and inventory."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ServingGroup(NamedTuple):
-    """A group that is open and whole."""
+    """A complete group whose head is open."""
 
     group: PlannedGroup
     head: TargetHost
@@ -19,10 +19,10 @@
 def serving_groups(
     plans: Iterable[DomainPlan], inventory: Inventory
 ) -> Mapping[str, tuple[ServingGroup, ...]]:
-    """Return the groups that serve, by model.
+    """Return the groups that can serve requests, by model.
 
-    A group that is not planned gets nothing, even if its head says that it is open: an order that
-    was carried out late may have opened a group whose hosts were given to others meanwhile.
+    A group that is not in a plan receives no requests, even if its head reports that it is open: an
+    order carried out late may have opened a group whose hosts have since been assigned to others.
     """
     found: dict[str, list[ServingGroup]] = {}
     for plan in plans:
@@ -34,19 +34,19 @@
 
 
 def _serving_head(domain: str, group: PlannedGroup, inventory: Inventory) -> TargetHost | None:
-    # Members are looked for among the hosts of the plan's domain. One that says another domain now
-    # is gone for the domain's owner too; kept as a member, it could end unseen, as what is worked
-    # out of a domain stays until that domain's hosts change.
+    # Only hosts of the plan's domain count as members. A host that now reports another domain is
+    # also missing for the owner of this domain. If it counted, its failure would go unnoticed,
+    # because the cached results for a domain are kept until the hosts of that domain change.
     hosts = inventory.in_domain(domain)
     head = hosts.get(group.head)
     if head is None or head.leaving or head.membership is None:
         return None
     if head.membership.state != MemberState.OPEN:
         return None
-    return head if all(_stands(group, hosts.get(i)) for i in group.members) else None
+    return head if all(_is_serving_member(group, hosts.get(i)) for i in group.members) else None
 
 
-def _stands(group: PlannedGroup, host: TargetHost | None) -> bool:
+def _is_serving_member(group: PlannedGroup, host: TargetHost | None) -> bool:
     if host is None or host.leaving or host.membership is None:
         return False
     if host.membership.state == MemberState.BROKEN:
--- a/src/oleanderhill/groups/spares.py
+++ b/src/oleanderhill/groups/spares.py
@@ -1,4 +1,4 @@
-"""Weights ahead: what free hosts load, and which of them are warm for the next group."""
+"""Loading weights and warming up on free hosts before a group needs them."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 from .pacing import LoadPacer
 from .plans import DomainPlan, PlannedGroup
 
-LOAD_AGAIN = 3.0
-"""Seconds after which a host that refused an order to load, or did not answer it, is ordered again.
-One that refused is loading by an earlier owner's order, which takes up to 16 s and shows then."""
+LOAD_RETRY_SECONDS = 3.0
+"""Seconds until a host that rejected an order to load, or did not answer it, is ordered again. A
+host that rejected it is usually loading by order of an earlier owner, which takes up to 16 s and
+then shows in the host list."""
 
-STAGING_PATIENCE = 3.0
-"""Times its load time after which a host that still lacks the weights is ordered to load again:
-several loads at once slow each other down."""
+STAGING_TIMEOUT_FACTOR = 3.0
+"""Multiple of the load time after which a host that still lacks the weights is ordered to load
+again. Concurrent loads slow each other down."""
 
-WARM_PATIENCE = 4.0
-"""Seconds in which a spare warms up; twice the longest time that weights at hand take."""
+WARM_UP_TIMEOUT = 4.0
+"""Seconds allowed for a spare to warm up: twice the longest time to join with weights on the
+host."""
 
 
 class Spares:
-    """What is known of the weights and warmth of one domain's hosts.
+    """Tracks the weights and the warm models of one domain's hosts.
 
-    A load takes many seconds. Done ahead, it lets a group that loses a host be whole again within
-    two; done within a group's forming, it would hold up all its other hosts.
+    A load takes many seconds. Done in advance, it lets a group that loses a host be complete again
+    within two seconds; done while the group forms, it would block all its other hosts.
     """
 
     def __init__(self, pacer: LoadPacer) -> None:
@@ -39,58 +41,60 @@
 
     @property
     def warming(self) -> Collection[Instance]:
-        """Return the hosts that warm up, and can't be given to a group meanwhile."""
+        """Return the hosts that are warming up and therefore cannot be assigned to a group."""
         return self._warming.keys()
 
     def is_warm(self, instance: Instance, model: str) -> bool:
-        """Tell whether a host's last group, as far as known, was of a model."""
+        """Return whether a host's last known group served a model."""
         return self._warm.get(instance) == model
 
     def ended(self, order: Stage, end: OrderEnd, now: float) -> None:
-        """Take note of how an order to load ended.
+        """Record the outcome of an order to load.
 
-        Counted as a load that runs though it began nothing, it took the one load that a domain may
-        have for three times its length: a group that lacked one host stayed so for 19 s, with two
-        empty hosts beside it.
+        An order that started no load must not count as a running load. It blocked the only
+        concurrent load that a domain may have for three times the load time: a group that lacked
+        one host stayed incomplete for 19 s, with two free hosts without weights beside it.
         """
         if end != OrderEnd.DONE:
             self._loading.pop(order.instance, None)
-            self._load_again_at[order.instance] = now + LOAD_AGAIN
+            self._load_again_at[order.instance] = now + LOAD_RETRY_SECONDS
 
-    def look(
+    def observe(
         self, now: float, hosts: Mapping[Instance, TargetHost], needs: Sequence[ModelNeed]
     ) -> None:
-        """Take note of what the hosts of the domain show now."""
+        """Update the state from the current entries of the domain's hosts."""
         for instance, host in hosts.items():
             if host.membership is not None and host.membership.state != MemberState.JOINING:
                 self._warming.pop(instance, None)
                 if host.staged:
                     self._warm[instance] = host.staged[-1]
         self._warming = {
-            i: t for i, t in self._warming.items() if i in hosts and now - t < WARM_PATIENCE
+            i: t for i, t in self._warming.items() if i in hosts and now - t < WARM_UP_TIMEOUT
         }
         self._warm = {i: m for i, m in self._warm.items() if i in hosts}
         self._load_again_at = {i: t for i, t in self._load_again_at.items() if i in hosts}
-        patience = {n.model: n.load_seconds * STAGING_PATIENCE for n in needs}
+        timeout_by_model = {n.model: n.load_seconds * STAGING_TIMEOUT_FACTOR for n in needs}
         self._loading = {
             i: (model, at)
             for i, (model, at) in self._loading.items()
-            if i in hosts and model not in hosts[i].staged and now - at < patience.get(model, 0.0)
+            if i in hosts
+            and model not in hosts[i].staged
+            and now - at < timeout_by_model.get(model, 0.0)
         }
 
     def as_free(self, host: TargetHost, now: float) -> FreeHost:
-        """Return a free host with the weights that it has or loads."""
+        """Describe a free host together with the weights that it has or is loading."""
         loading = self._loading.get(host.instance)
         weights = loading[0] if loading else host.staged[0] if host.staged else ""
-        at_hand = now >= self._load_again_at.get(host.instance, 0.0)
-        return FreeHost(host.instance, weights, at_hand)
+        available = now >= self._load_again_at.get(host.instance, 0.0)
+        return FreeHost(host.instance, weights, available)
 
     def load(
         self, now: float, wanted: Sequence[tuple[Instance, str]], loads_free: bool
     ) -> list[Stage]:
-        """Return the orders to load that may be given now, of those wanted the first ones.
+        """Return the orders to load that may be sent now, in the order of ``wanted``.
 
-        :param wanted: hosts with the models that they are to load, the most urgent first
+        :param wanted: hosts with the models that they should load, the most urgent first
         """
         orders = []
         for instance, model in wanted:
@@ -103,12 +107,12 @@
         return orders
 
     def warm_up(self, now: float, plan: DomainPlan, free: Sequence[TargetHost]) -> list[Warm]:
-        """Return the order for a spare to join a group of its own, which is never opened.
+        """Return an order for a spare to join a group of its own, which is never opened.
 
-        It then leaves like any host in a group that is not planned. A host joins in 0.2 s where the
-        model is that of its last group, in 1.1 or 1.6 s where it only has the weights at hand: a
-        third of the time in which a group that lost a member is whole again. One at a time, as a
-        spare that warms up can't be given to a group.
+        It then leaves, as any host does whose group is not planned. A host joins in 0.2 s if its
+        last group served the same model, and in 1.1 to 1.6 s if it only has the weights: a third of
+        the time until a group that lost a member is complete again. Spares warm up one at a time,
+        because a host that is warming up cannot be assigned to a group.
         """
         if self._warming:
             return []
@@ -118,8 +122,8 @@
             model = host.staged[-1]
             if self.is_warm(host.instance, model):
                 continue
-            # A name of its own each time: a host that left a group once may be shown in it for a
-            # while, and counts as free.
+            # Each warm-up uses a new group name: a host that left a group may still be listed in it
+            # for a while and then counts as free.
             self._warmed_up += 1
             name = f"{plan.domain}.warm.{plan.term}.{self._warmed_up}"
             group = PlannedGroup(name, plan.last_epoch, model, (host.instance,))
@@ -128,4 +132,4 @@
         return []
 
     def _may_load(self, now: float) -> bool:
-        return len(self._loading) < self.pacer.at_once and self.pacer.take(now)
+        return len(self._loading) < self.pacer.max_concurrent and self.pacer.take(now)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Groups that hosts join by order: inventory, plans, ownership, composing, forming, pacing."""
+"""Tests of engine host groups: inventory, plans, ownership, composing, forming, pacing."""
 
 import asyncio
 import time
@@ -12,13 +12,13 @@
 from oleanderhill.groups import forming
 from oleanderhill.groups.actions import Join, Leave, Open, OrderEnd, Replan, Stage, Warm
 from oleanderhill.groups.composing import (
+    Composition,
     FreeHost,
     ModelNeed,
-    Standard,
-    first_mix,
+    desired_composition,
+    initial_mix,
     loads_to_order,
     next_model,
-    standard,
 )
 from oleanderhill.groups.forming import DomainKeeper
 from oleanderhill.groups.inventory import (
@@ -28,22 +28,22 @@
     MemberState,
     TargetHost,
 )
-from oleanderhill.groups.ownership import Presence, owns, preferred_owner, should_take, taken
+from oleanderhill.groups.ownership import Presence, owns, preferred_owner, should_take, taken_over
 from oleanderhill.groups.pacing import LoadPacer
 from oleanderhill.groups.plans import DomainPlan, decode_plan, encode_plan
-from oleanderhill.groups.probing import Rounds, silences
+from oleanderhill.groups.probing import ProbeRounds, count_unanswered
 from oleanderhill.groups.router import serving_groups
-from oleanderhill.groups.spares import LOAD_AGAIN
+from oleanderhill.groups.spares import LOAD_RETRY_SECONDS
 
 LARGE = ModelNeed("large", 3, 1.0, 16.0)
 SMALL = ModelNeed("small", 2, 1.0, 12.0)
-NO_SPARES = Standard(0, {})
+NO_SPARES = Composition(0, {})
 
 
 def host(name, staged=(), membership=None, leaving=False, domain="d", born=0):
-    life = Instance(name, born)
+    instance = Instance(name, born)
     return TargetHost(
-        life, "pool", f"10.0.0.{name}", "here", leaving, 13, domain, staged, "", membership
+        instance, "pool", f"10.0.0.{name}", "here", leaving, 13, domain, staged, "", membership
     )
 
 
@@ -52,7 +52,7 @@
 
 
 class World:
-    """One domain whose hosts do as they are told, unless they are silent."""
+    """One domain whose hosts carry out every order, except those that are silent."""
 
     def __init__(self, *hosts):
         self.plan = DomainPlan("d", "e", "l", 1)
@@ -65,7 +65,7 @@
     def step(self, seconds=0.25, obey=True, loads_free=False):
         self.now += seconds
         needs = [LARGE, SMALL]
-        first = first_mix({"d": len(self.hosts)}, needs)["d"] if loads_free else None
+        first = initial_mix({"d": len(self.hosts)}, needs)["d"] if loads_free else None
         actions = self.keeper.decide(self.now, self.plan, self.hosts, needs, first)
         for action in actions:
             if isinstance(action, Replan):
@@ -116,8 +116,8 @@
             self.keeper.probed(instance, int(instance in self.silent), self.now)
 
 
-def but_warm(actions):
-    """Return what is ordered besides spares that warm up."""
+def without_warm_ups(actions):
+    """Return the actions without orders that warm up spares."""
     return [a for a in actions if not isinstance(a, Warm)]
 
 
@@ -139,8 +139,8 @@
         self.assertEqual({m: len(g) for m, g in world.serving().items()}, {"large": 1, "small": 1})
 
     def test_head_is_not_opened_before_every_member_is_ready(self):
-        # One of three members loads for long. Requests sent to a head that was opened meanwhile
-        # would run in a group that is not whole.
+        # One of three members is still loading. If the head were opened now, its requests would run
+        # in an incomplete group.
         world = staged_world(3, 0)
         world.step()
         world.step()
@@ -153,28 +153,28 @@
         self.assertEqual(world.serving(), {})
 
     def test_group_is_formed_only_of_hosts_that_have_the_weights(self):
-        # Two hosts have the weights and one has others. Joined together, the two would wait 16 s
-        # for the third; ordered to load ahead, it completes the group when it is ready, and the
-        # two can mend another group until then.
+        # Two hosts have the weights and the third does not. If all three joined now, two would wait
+        # 16 s for the third. Ordered to load first, it completes the group when it is ready, and
+        # until then the other two can repair another group.
         world = World(host("a", ("large",)), host("b", ("large",)), host("c"))
-        self.assertEqual(but_warm(world.step(obey=False)), [Stage("large", Instance("c"))])
-        self.assertEqual(but_warm(world.step(20.0, obey=False)), [])
+        self.assertEqual(without_warm_ups(world.step(obey=False)), [Stage("large", Instance("c"))])
+        self.assertEqual(without_warm_ups(world.step(20.0, obey=False)), [])
 
     def test_load_that_was_refused_does_not_hold_up_the_next_one(self):
-        # An owner restarts and orders a host to load that is loading already, by its earlier
-        # order. The host refuses. Counted as loading, it took the one load that the domain may
-        # have at a time, and the group that lacks one host stayed short for 19 s.
+        # A restarted owner orders a host to load that is already loading by an earlier order, and
+        # the host rejects the order. Counted as running, it used up the one concurrent load of the
+        # domain, and a group that lacked one host stayed incomplete for 19 s.
         world = World(host("a", ("large",)), host("b", ("large",)), host("c"), host("d"))
         world.keeper = DomainKeeper(LoadPacer(1000.0, 5.0, 1, 1))
-        (refused,) = but_warm(world.step(obey=False))
+        (refused,) = without_warm_ups(world.step(obey=False))
         world.keeper.ended(refused, OrderEnd.UNFIT, world.now)
-        ordered = but_warm(world.step(obey=False))
+        ordered = without_warm_ups(world.step(obey=False))
         self.assertEqual([(type(o), o.model) for o in ordered], [(Stage, "large")])
         (second,) = ordered
         self.assertNotEqual(second.instance, refused.instance)
-        self.assertEqual(but_warm(world.step(obey=False)), [])
+        self.assertEqual(without_warm_ups(world.step(obey=False)), [])
         world.keeper.ended(second, OrderEnd.SILENT, world.now)
-        (third,) = but_warm(world.step(LOAD_AGAIN, obey=False))
+        (third,) = without_warm_ups(world.step(LOAD_RETRY_SECONDS, obey=False))
         self.assertEqual(third.instance, refused.instance)
 
     def test_first_loads_are_part_of_forming(self):
@@ -183,8 +183,9 @@
         self.assertEqual(len(world.plan.groups), 1)
 
     def test_lost_member_is_replaced_by_a_spare_with_the_weights(self):
-        # A member dies. Its entry stays for seconds; probes of the suspected group find it
-        # silent, and that another host answers. The rest leaves and forms anew with the spare.
+        # A member fails and its entry stays listed for seconds. Probes of the suspected group show
+        # that it is silent and that another host answers. The other members leave, and form a new
+        # group with the spare.
         world = staged_world(4, 0)
         world.run(4)
         lost = world.plan.groups[0].members[1]
@@ -198,9 +199,9 @@
         self.assertEqual(world.broken_rules, [])
 
     def test_spare_is_warm_before_it_is_needed(self):
-        # A group loses a member, and a spare with the weights takes its place. Weights that only
-        # lie on the host take 1.6 s to join with, those of its last group 0.2 s; callers are
-        # refused meanwhile. So the spare joins a group of its own once, and leaves it.
+        # A spare with the weights replaces a lost member, and callers are rejected until it has
+        # joined. With weights only on the host, joining takes 1.6 s; if its last group served the
+        # model, 0.2 s. So the spare joins a group of its own in advance, and leaves it.
         world = staged_world(4, 0)
         seen = []
         for _ in range(8):
@@ -215,8 +216,9 @@
         self.assertEqual(world.broken_rules, [])
 
     def test_warm_host_is_taken_before_a_cold_one(self):
-        # Three hosts of a broken group are warm, a new one that sorts before them is not. With it
-        # the group is whole a second later, as it waits for the last of its members.
+        # Three hosts of a broken group are warm; a new host that sorts before them is not. A group
+        # that includes it would be complete a second later, because it waits for its slowest
+        # member.
         world = staged_world(3, 0)
         warm = dict.fromkeys(world.hosts, "large")
         world.keeper._spares._warm = dict(warm)
@@ -225,7 +227,7 @@
         self.assertEqual(set(world.plan.groups[0].members), set(warm))
 
     def test_spare_that_does_not_warm_up_is_used_all_the_same(self):
-        # The order was lost or is carried out late: the spare may not stay out of use for it.
+        # The order is lost or carried out late; the spare must not stay unavailable because of it.
         world = staged_world(4, 0)
         world.run(3)
         spare = next(i for i in world.hosts if i not in world.plan.groups[0].members)
@@ -237,7 +239,8 @@
         self.assertIn(spare, world.plan.groups[0].members)
 
     def test_hosts_of_a_silent_head_are_used_once_they_have_left_it(self):
-        # The head is cut off and may serve others. Its members leave before they join anew.
+        # The head is partitioned from this entry host and may serve others. Its members must leave
+        # its group before they join a new one.
         world = staged_world(4, 0)
         world.run(4)
         head = world.plan.groups[0].head
@@ -249,9 +252,9 @@
         self.assertEqual(world.broken_rules, [])
 
     def test_group_of_a_cut_off_data_centre_stays_planned_and_serves_when_it_is_back(self):
-        # All hosts fall silent and their entries lapse, yet the group serves behind the cut. When
-        # they return its head is still open: given to others meanwhile, its hosts would be in two
-        # groups at once.
+        # All hosts stop answering and their entries expire, but the group still serves within its
+        # partition. When they return its head is still open: had its hosts been reassigned
+        # meanwhile, they would be in two groups.
         world = staged_world(3, 0)
         world.run(4)
         kept = dict(world.hosts)
@@ -300,9 +303,9 @@
         self.assertNotIn(leaving, world.plan.groups[0].members)
 
     def test_group_that_is_being_broken_up_is_not_formed_again(self):
-        # A new owner finds a broken head and orders it out. Its entry then shows no group, as if
-        # the group had never been formed. Ordered in again, the head would count as having left,
-        # and be given to another group while it is open.
+        # A new owner finds a broken head and orders it to leave. Its entry then shows no group, as
+        # if the group had never been formed. Ordered to join again, the head would be recorded as
+        # having left, and be assigned to another group while it is open.
         world = staged_world(4, 0)
         world.run(4)
         (group,) = world.plan.groups
@@ -321,8 +324,8 @@
     @settings(max_examples=150, deadline=None)
     @given(st.data())
     def test_no_host_is_ever_in_two_groups_whatever_happens(self, data):
-        # Hosts die, fall silent, come back, drain and lapse in any order; orders to silent ones
-        # get no answer. A host must leave one group before it joins another, and no head may
+        # Hosts fail, stop answering, return, drain and expire in any order; orders to silent hosts
+        # are not answered. A host must leave one group before it joins another, and no head may
         # open without all of its members.
         world = staged_world(7, 5)
         world.run(4)
@@ -356,10 +359,11 @@
 
 class ReturnTest(unittest.TestCase):
     def test_hosts_that_come_back_from_a_cut_are_not_taken_for_silent_for_ever(self):
-        # A data centre was cut off for some seconds; its hosts left probes unanswered meanwhile. It
-        # is back, and they answer orders. Only an answered probe cleared them, and a probe needs a
-        # suspected group: each new group had a silent member from its first moment, was taken apart
-        # and formed again, four times a second, and callers had no group of the model there.
+        # The hosts of a data centre that was partitioned for seconds left probes unanswered; now
+        # they answer orders. Only an answered probe cleared that state, and probes are sent only to
+        # suspected groups. Each new group therefore had a silent member from the start and was
+        # dissolved and formed again four times a second, and callers had no group of the model
+        # there.
         world = staged_world()
         world.run(obey=True)
         world.silent = {i for i in world.hosts if i.name.startswith("L")}
@@ -375,8 +379,8 @@
 
 class RoundsTest(unittest.TestCase):
     def rounds(self, silent):
-        """Return at which times of a suspicion of two seconds the members are asked."""
-        rounds, asked = Rounds(), []
+        """Return the times of probe rounds during a suspicion of two seconds."""
+        rounds, asked = ProbeRounds(), []
         for step in range(200):
             now = step / 100
             if rounds.begin("g", now):
@@ -385,21 +389,21 @@
         return asked
 
     def test_members_that_all_answer_are_asked_ever_less_often(self):
-        # A busy group is suspected for two seconds. Its 32 members were asked twenty times each,
-        # which took them and the owner more than the requests did. Benchmark: 20 rounds before, 5
-        # now; a lost member shows in the first of them.
+        # A busy group is suspected for two seconds. Probing each of its 32 members twenty times
+        # cost them and the owner more than the requests did. Bound: 5 rounds instead of 20; a lost
+        # member is detected in the first of them.
         self.assertEqual(len(self.rounds(silent=False)), 5)
 
     def test_silent_member_is_asked_again_soon(self):
         self.assertEqual(len(self.rounds(silent=True)), 20)
 
     def test_next_suspicion_is_asked_about_at_once(self):
-        rounds = Rounds()
+        rounds = ProbeRounds()
         for now in (0.0, 0.15, 0.4):
             self.assertTrue(rounds.begin("g", now))
             rounds.end("g", False, now)
         self.assertFalse(rounds.begin("g", 0.5))
-        rounds.trust("g")
+        rounds.clear("g")
         self.assertTrue(rounds.begin("g", 0.5))
         self.assertFalse(rounds.begin("g", 0.5))
 
@@ -413,22 +417,22 @@
         self.assertEqual(next_model(plan, staged, 5, NO_SPARES, [needy, SMALL]), needy)
 
     def test_small_groups_leave_large_ones_their_domains(self):
-        # Five domains of 19 hosts, groups of 16 and of 4. Spread one by one, groups of 4 stood in
-        # four of the five domains, and the model of 16 had one group of the three that are its
-        # share. Once that one broke, no domain had room for another: nine in ten of its requests
-        # were refused to the end of the day.
+        # Five domains of 19 hosts, groups of 16 and of 4. Allocated one by one, groups of 4
+        # occupied four of the five domains, and the model of 16 got one of the three groups that
+        # are its share. Once that group broke, no domain could hold another, and nine in ten
+        # requests were rejected.
         large, small = ModelNeed("large", 16, 1.2, 16.0), ModelNeed("small", 4, 4.8, 12.0)
-        mix = first_mix({f"d{n}": 19 for n in range(5)}, [large, small])
+        mix = initial_mix({f"d{n}": 19 for n in range(5)}, [large, small])
         self.assertEqual(sum(m["large"] for m in mix.values()), 3)
         self.assertEqual(sum(m["small"] for m in mix.values()), 8)
 
     def test_first_mix_gives_a_large_model_its_groups_and_leaves_spares(self):
-        # Two models share the work of domains of 37 hosts, one in groups of 16, one of 4. Formed
-        # as hosts show, groups of 4 took all of them, and callers of the large model were refused
-        # all day: before, 1 group of it among 50; now one in each domain.
+        # Domains of 37 hosts share two models, in groups of 16 and of 4. When groups were formed as
+        # hosts appeared, groups of 4 took all hosts: the large model had 1 group among 50, and its
+        # callers were rejected all day. Expected: one large group in each domain.
         large = LARGE._replace(hosts=16, need=0.9)
         small = SMALL._replace(hosts=4, need=4.0)
-        mix = first_mix({f"d{n}": 37 for n in range(6)}, [large, small])
+        mix = initial_mix({f"d{n}": 37 for n in range(6)}, [large, small])
         for counts in mix.values():
             self.assertEqual(counts, {"large": 1, "small": 4})
 
@@ -439,7 +443,7 @@
     )
     def test_first_mix_fits_the_domains_and_forgets_no_model(self, hosts, large, small):
         needs = [LARGE._replace(hosts=large), SMALL._replace(hosts=small)]
-        mix = first_mix(hosts, needs)
+        mix = initial_mix(hosts, needs)
         size = {n.model: n.hosts for n in needs}
         for domain, counts in mix.items():
             self.assertLessEqual(sum(size[m] * n for m, n in counts.items()), hosts[domain])
@@ -448,46 +452,48 @@
             self.assertEqual(set(given_out), {"large", "small"})
 
     def test_spares_are_not_made_into_one_more_small_group(self):
-        # Five hosts are free beside a group of 16 and four of 4. Made into a fifth small group,
-        # none is left when the large one loses a member: it does not come back all day, and its
-        # callers are refused. The spares stay, with weights of both models.
+        # Five hosts are free besides a group of 16 and four of 4. If they formed a fifth small
+        # group, none would be left when the large group loses a member: it could not form again,
+        # and its callers would be rejected. The spares stay free, with weights of both models.
         large = LARGE._replace(hosts=16, need=1.0, others=5)
         small = SMALL._replace(hosts=4, need=12.0, others=20)
         plan = DomainPlan("d").with_group("large", tuple(f"l{n}" for n in range(16)))
         for group in range(4):
             plan = plan.with_group("small", tuple(f"s{group}{n}" for n in range(4)))
         staged = {"small": 5}
-        aim = standard("d", 37, [large, small])
-        self.assertIsNone(next_model(plan, staged, 5, aim, [large, small]))
+        desired = desired_composition("d", 37, [large, small])
+        self.assertIsNone(next_model(plan, staged, 5, desired, [large, small]))
         free = [FreeHost(f"f{n}", "", True) for n in range(5)]
-        loads = Counter(model for _, model in loads_to_order(plan, free, aim, [large, small]))
+        loads = Counter(model for _, model in loads_to_order(plan, free, desired, [large, small]))
         self.assertGreaterEqual(min(loads["large"], loads["small"]), 2)
-        # More of them may be expected; that their groups are half full says that there are enough.
+        # Expected load alone is no reason for another group: half-full groups show that there are
+        # enough.
         expected = small._replace(need=40.0, filled=12.0)
-        self.assertIsNone(next_model(plan, staged, 5, aim, [large, expected]))
-        # Where callers of the small model find all its groups busy, the spares serve them.
+        self.assertIsNone(next_model(plan, staged, 5, desired, [large, expected]))
+        # If all groups of the small model are busy, the spares serve its callers.
         pressed = small._replace(need=22.0, filled=22.0)
-        self.assertEqual(next_model(plan, staged, 5, aim, [large, pressed]), pressed)
+        self.assertEqual(next_model(plan, staged, 5, desired, [large, pressed]), pressed)
 
     def test_large_group_that_lacks_one_host_is_waited_for(self):
-        # A group of 16 lost a member. Fifteen of its hosts are free, with five spares: one loads
-        # the weights. Small groups made of the spares meanwhile would leave it short for good.
+        # A group of 16 lost a member. Fifteen of its hosts are free, besides five spares of which
+        # one is loading the weights. If the spares formed small groups meanwhile, the large group
+        # could not be completed any more.
         large = LARGE._replace(hosts=16, need=5.0, elsewhere=1.0, others=5)
         small = SMALL._replace(hosts=4, need=24.0, elsewhere=4.0, others=20)
         plan = DomainPlan("d")
         for group in range(4):
             plan = plan.with_group("small", tuple(f"s{group}{n}" for n in range(4)))
         needs = [large, small]
-        aim = standard("d", 36, needs)
-        self.assertEqual(aim.mix, {"large": 1, "small": 3})
-        self.assertIsNone(next_model(plan, {"large": 15, "small": 4}, 19, aim, needs))
-        found = next_model(plan, {"large": 16, "small": 4}, 19, aim, needs)
+        desired = desired_composition("d", 36, needs)
+        self.assertEqual(desired.mix, {"large": 1, "small": 3})
+        self.assertIsNone(next_model(plan, {"large": 15, "small": 4}, 19, desired, needs))
+        found = next_model(plan, {"large": 16, "small": 4}, 19, desired, needs)
         self.assertEqual(found, large)
 
     def test_loads_complete_the_group_that_lacks_least(self):
-        # After losses a domain holds two hosts with the weights of the large model, one with
-        # those of the small, and a new one. As they lie, none makes a group; the new one's load
-        # completes one.
+        # After losses a domain has two free hosts with the weights of the large model, one with
+        # those of the small model, and a new host. None can form a group yet; a load by the new
+        # host completes one.
         free = [
             FreeHost("a", "large", True),
             FreeHost("b", "large", True),
@@ -522,8 +528,8 @@
 
 class PacingTest(unittest.TestCase):
     def test_all_domains_together_stay_under_the_bound_in_any_window(self):
-        # 4.5 loads a second in windows of 5 s, a tenth more allowed and three: 27.75. Six owners
-        # that don't know of each other all want to load at once, all day long.
+        # 4.5 loads a second in windows of 5 s, plus a tenth, plus three: 27.75. Six owners that do
+        # not coordinate all order loads continuously.
         pacers = [LoadPacer(27.75, 5.0, 6) for _ in range(6)]
         began = [n * 0.1 for n in range(600) for pacer in pacers if pacer.take(n * 0.1)]
         most = most_within(5.0, began)
@@ -531,12 +537,12 @@
         self.assertGreater(len(began) / 60, 1.0)
 
     def test_owner_that_came_first_shares_with_the_domains_that_show_later(self):
-        # At the first start the list shows one domain, then six. The owner of the first one took
-        # the whole bound for itself for as long as it lived.
+        # At the first start the list shows one domain, then six. The owner of the first domain used
+        # the whole limit as long as it ran.
         first = LoadPacer(27.75, 5.0, 1, 6)
         first.share_among(6)
         first.share_among(2)
-        self.assertEqual(first.at_once, 1)
+        self.assertEqual(first.max_concurrent, 1)
         pacers = [first, *(LoadPacer(27.75, 5.0, 6, 6) for _ in range(5))]
         began = [n * 0.1 for n in range(300) for pacer in pacers if pacer.take(n * 0.1)]
         most = most_within(5.0, began)
@@ -545,7 +551,7 @@
 
 class ProbingTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, *answers):
-        """Ask a host that answers so, each answer after some seconds; return silences and time."""
+        """Probe a host with the given delays and answers; return unanswered count and time."""
         left = list(answers)
 
         async def once():
@@ -554,11 +560,11 @@
             return answered
 
         began = time.monotonic()
-        return await silences(once), time.monotonic() - began
+        return await count_unanswered(once), time.monotonic() - began
 
     async def test_lost_host_is_found_in_the_time_of_one_question_and_a_bit(self):
-        # A member lost power. Its group takes requests that nobody finishes until it is found;
-        # two questions of 0.4 s in a row took 0.9 s.
+        # A member lost power. Until it is detected, its group accepts requests that never finish.
+        # Two sequential probes of 0.4 s took 0.9 s.
         found, seconds = await self.ask((0.4, False), (0.4, False))
         self.assertEqual(found, 2)
         self.assertLess(seconds, 0.7)
@@ -567,15 +573,15 @@
         self.assertEqual((await self.ask((0.01, True)))[0], 0)
 
     async def test_one_answer_of_two_shows_that_a_host_lives(self):
-        # A packet was lost on the way to the first answer, or the first connection was dead.
+        # The first answer was lost with a packet, or the first connection was dead.
         self.assertEqual((await self.ask((0.4, False), (0.01, True)))[0], 0)
         self.assertEqual((await self.ask((0.3, True), (0.4, False)))[0], 0)
 
 
 class InventoryTest(unittest.TestCase):
     def test_entries_that_lapsed_with_the_store_get_time_to_come_back(self):
-        # The store is away and leases run out. Right after its return the list lacks hosts that
-        # live; taken at its word, every service would lose all targets at once.
+        # Leases expire during a store outage. Right after recovery the list lacks hosts that are
+        # live; applied directly, it would remove all targets of every service.
         inventory = Inventory()
         inventory.put(host("a"))
         inventory.put(host("b"))
@@ -601,7 +607,7 @@
         self.assertEqual(len(self.world.serving()["large"]), 1)
 
     def test_group_that_is_not_planned_gets_nothing(self):
-        # An order to open is carried out seconds late, after the group was given up.
+        # An order to open is carried out seconds late, after the group was removed from the plan.
         self.world.plan = self.world.plan.without_group(self.world.plan.groups[0].name)
         self.assertEqual(self.world.serving(), {})
 
@@ -623,7 +629,7 @@
     def setUp(self):
         self.alive = {n: Presence(n, f"{n}-1", "a", "here") for n in ("x", "y", "z")}
         self.first = preferred_owner("d", self.alive)
-        self.plan = taken(DomainPlan("d"), self.alive[self.first])
+        self.plan = taken_over(DomainPlan("d"), self.alive[self.first])
 
     def test_one_of_all_takes_a_domain_without_an_owner(self):
         takers = [n for n, p in self.alive.items() if should_take(DomainPlan("d"), p, self.alive)]
@@ -634,14 +640,14 @@
         self.assertFalse(any(should_take(self.plan, p, self.alive) for p in self.alive.values()))
 
     def test_restarted_owner_owns_nothing_and_the_term_rises(self):
-        # The process that held the domain is gone; its successor under the same name knows
-        # nothing of the orders that are under way, and takes the domain anew with a higher term.
+        # The process that owned the domain has ended. Its successor under the same name does not
+        # know the orders in progress, and takes the domain over with a higher term.
         back = self.alive[self.first]._replace(life="new")
         alive = {**self.alive, self.first: back}
         self.assertFalse(owns(self.plan, back))
         takers = [p for p in alive.values() if should_take(self.plan, p, alive)]
         self.assertEqual(len(takers), 1)
-        self.assertEqual(taken(self.plan, takers[0]).term, 2)
+        self.assertEqual(taken_over(self.plan, takers[0]).term, 2)
 
     def test_plan_survives_its_way_through_the_store(self):
         plan = self.plan.with_group("m", (Instance("a", 17), Instance("b")))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""Target hosts that start again under their name, and entries that others than hosts wrote."""
+"""Tests of target hosts that restart under the same name, and of entries by foreign writers."""
 
 import json
 import unittest
@@ -42,7 +42,7 @@
 
 
 class LifeTest(unittest.TestCase):
-    """What is known of one life is never taken for another."""
+    """Data of one incarnation is never applied to another."""
 
     def test_later_life_takes_the_place_of_the_earlier_one(self):
         inventory = Inventory()
@@ -54,9 +54,9 @@
         self.assertTrue(inventory.ended(Instance("a", 5)))
 
     def test_late_entry_of_an_ended_life_revives_nothing(self):
-        # A host crashes behind a cut and starts again. A write of its earlier life lasted long on
-        # its way and arrives after its new entry, or after that has gone too. Taken, callers would
-        # be sent to a group that the host knows nothing of.
+        # A partitioned host crashes and restarts. A delayed write of its earlier incarnation
+        # arrives after its new entry, or after the removal of that entry. If it were accepted,
+        # requests would be sent to a group that the host no longer knows.
         inventory = Inventory()
         inventory.put(host("a", born=9))
         self.assertFalse(inventory.put(host("a", born=5)).current)
@@ -72,8 +72,8 @@
         self.assertFalse(inventory.put(host("a")).current)
 
     def test_new_life_ends_the_old_one_while_entries_are_in_doubt(self):
-        # The store was away; entries that are missing may come back. The one of a life that is
-        # over will not: kept, the group that it stood in would count as whole.
+        # After a store outage missing entries may reappear, but not that of an ended incarnation:
+        # if it were retained, its group would count as complete.
         inventory = Inventory()
         inventory.put(host("a", born=5))
         inventory.doubt(100.0)
@@ -99,8 +99,8 @@
         self.assertTrue(inventory.ended(Instance("h4999", 4)))
 
     def test_group_with_a_member_in_a_new_life_gets_no_requests(self):
-        # The member started again and an order that came late made it join under the same name and
-        # epoch. It has been ready there, but not in the life that the plan names.
+        # The member restarted, and a late order made it join under the same group and epoch. It is
+        # ready there, but as an incarnation that the plan does not name.
         world = staged_world(3, 0)
         world.run(4)
         last = world.plan.groups[0].members[-1]
@@ -109,8 +109,8 @@
         self.assertEqual(world.serving(), {})
 
     def test_group_of_restarted_member_is_formed_anew_with_it(self):
-        # One of three members starts again under its name; its weights lie on the host still. The
-        # other two leave and the three form a group, within seconds.
+        # One of three members restarts under its name, with its weights still on the host. The
+        # other two leave, and the three form a group within seconds.
         world = staged_world(3, 0)
         world.run(4)
         first = world.plan.groups[0]
@@ -126,8 +126,9 @@
         self.assertEqual(world.broken_rules, [])
 
     def test_group_all_of_whose_members_restarted_is_not_waited_for(self):
-        # A fabric domain lost power and all its hosts are back under their names. Taken for a
-        # group behind a cut, its plan would be kept for 20 s, and its hosts would wait as long.
+        # A fabric domain lost power and all its hosts are back under their names. If its group were
+        # treated as partitioned, the plan would retain it for 20 s and its hosts would wait as
+        # long.
         world = staged_world(3, 0)
         world.run(4)
         ended = set(world.hosts)
@@ -138,8 +139,9 @@
         self.assertEqual(decided[-1].plan.groups, ())
 
     def test_silence_of_the_earlier_life_is_not_held_against_the_new_one(self):
-        # Probes and orders to a crashed host had no answer, so it is given to no group for three
-        # seconds. It is back after one, and as good as any.
+        # A crashed host left probes and orders unanswered, so it is not assigned to a group for
+        # three seconds. It restarts after one second, and its new incarnation is available
+        # immediately.
         world = staged_world(2, 0)
         old = next(iter(world.hosts))
         for _ in range(3):
@@ -161,10 +163,10 @@
 
 
 class HeldTest(unittest.TestCase):
-    """Requests and lists around entries of others."""
+    """Candidates and host lists in the presence of foreign entries."""
 
     def test_plain_target_in_a_new_life_is_another_target(self):
-        # Its counts and the doubt about it belong to the life that is over.
+        # Its counters and suspicion belong to the ended incarnation.
         catalog = decode_configuration(configuration(1, {"hall": ["k"]}))
         names = []
         for born in (5, 9):
@@ -177,8 +179,8 @@
         self.assertEqual(len(set(names)), 2)
 
     def test_entry_of_an_engine_service_without_a_domain_serves_nothing(self):
-        # Another writer left the domain out. Taken for a plain target it would be the only one
-        # that all requests of the service go to.
+        # A foreign writer omitted the domain. Treated as a plain target, this host would be the
+        # only candidate and receive all requests of the service.
         catalog = decode_configuration(configuration(1, {"hall": ["k"]}))
         inventory = Inventory()
         inventory.put(host("x", domain=""))
@@ -280,8 +282,9 @@
 
 class SiteOfLivesTest(SiteTest):
     async def test_what_is_written_over_an_entry_takes_its_place(self):
-        # Another writer's bytes lie where the entry of one of two targets was. The earlier entry
-        # kept in use would send callers to a host that nobody vouches for; the other one holds.
+        # Foreign bytes overwrite the entry of one of two targets. If the earlier entry were
+        # retained, requests would go to a host that nothing confirms as live; the other target
+        # stays in use.
         self.site.write_entry("t-0", b'{"service": "desk", "state"')
 
         def names():
@@ -293,7 +296,7 @@
             self.assertIn(b"t-1", reader.body)
 
     async def test_foreign_entries_in_the_first_list_lose_no_other(self):
-        # An entry host starts and reads the whole list, with others' entries on every page.
+        # An entry host starts and reads the full list, with foreign entries on every page.
         for number, value in enumerate((b"", b"[]", b"\xff", b"[" * 50_000, b'{"born": NaN}')):
             self.site.write_entry(f"foreign-{number}", value)
         late = await self.site.add_entry("entry-9")
@@ -301,8 +304,8 @@
         self.assertEqual(len(late.candidates("desk", "")), 2)
 
     async def test_member_that_starts_again_under_its_name_is_used_again(self):
-        # A member crashes and is back at once, in no group. Its group's head goes on accepting
-        # requests that nobody finishes. The group is formed anew and serves, whole.
+        # A member crashes and restarts immediately, in no group. The head of its group keeps
+        # accepting requests that never finish. A new group must form and serve, with all members.
         (candidate,) = self.entry.candidates("pool", LARGE)
         head = self.site.engines.host_by_instance[candidate.host.instance.name]
         self.site.engines.host_by_instance[head.members[1]].restart()
@@ -318,11 +321,11 @@
         self.assertEqual((run.members_ready, run.never_ready), (3, ()))
 
     async def test_probe_of_an_ended_life_is_not_answered_by_the_new_one(self):
-        # The head still takes requests for its group, and at the member's address somebody
-        # answers: not the one who was in the group. Taken for it, the group would count as whole.
+        # The head still accepts requests for its group, and a host answers at the member's address,
+        # but as another incarnation. If its answer counted, the group would appear complete.
         caller = HttpCaller()
         self.addCleanup(caller.close)
-        orders = EngineOrders(caller, lambda *heard: None, lambda life: True)
+        orders = EngineOrders(caller, lambda *args: None, lambda instance: True)
         host_ = self.site.engines.host_by_instance["i-0"]
         old = Instance("i-0", host_.born)
         self.assertTrue(await orders.answers(old, host_.address))
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -1,4 +1,5 @@
-"""How an entry host keeps its presence in the store, and what it asks of one that refuses."""
+"""Tests of an entry host's presence in the store and of its retries when the store rejects
+calls."""
 
 import asyncio
 import random
@@ -16,8 +17,8 @@
 from oleanderhill.records import Records
 
 
-class Lessor:
-    """A store that grants leases, and refuses all calls while it is told to."""
+class StubStore:
+    """A store that grants leases, and rejects all calls while ``refuses`` is set."""
 
     def __init__(self):
         self.refuses = False
@@ -44,7 +45,7 @@
 class RetryTest(unittest.TestCase):
     def test_one_lost_answer_leaves_time_for_others_within_the_lease(self):
         waits = [retry_after(n) for n in range(1, 4)]
-        self.assertLess(presence.RENEW_EVERY + sum(waits), LEASE_SECONDS)
+        self.assertLess(presence.RENEW_INTERVAL + sum(waits), LEASE_SECONDS)
 
     def test_pause_grows_and_stays_bounded(self):
         waits = [retry_after(n) for n in range(1, 2000)]
@@ -54,25 +55,25 @@
 
 class RefusedTest(unittest.IsolatedAsyncioTestCase):
     async def test_store_that_refuses_for_long_is_asked_less_and_less(self):
-        # A third of the hosts is turned away for nine seconds. Each asked again every 0.27 s, 34
-        # times, and each refused call is paid for like one that was served. Benchmark: 34 calls
-        # before, 12 now, and the host is present again as soon as the store takes its call.
+        # The store rejects a third of the hosts for nine seconds. With a retry every 0.27 s each
+        # host made 34 calls, and each rejected call costs as much as a served one. With growing
+        # pauses there are 12, and the host is present again as soon as the store accepts a call.
         me = Presence("e1", "life", "10.0.0.1:1", "a")
-        store, entries = Lessor(), KeyedCopy(decode_presence, Records("e1"))
+        store, entries = StubStore(), KeyedCopy(decode_presence, Records("e1"))
         task = PresenceTask(Kernel(), me, store, entries, Records("e1"), random.Random(1))
         slept = []
         sleep = asyncio.sleep
 
-        async def pass_at_once(seconds):
+        async def skip_sleep(seconds):
             slept.append(seconds)
             await sleep(0)
             if sum(slept) > 9.0:
                 store.refuses = False
 
-        with patch.object(presence.asyncio, "sleep", pass_at_once):
-            await task._begin()
+        with patch.object(presence.asyncio, "sleep", skip_sleep):
+            await task._acquire_lease()
             store.refuses = True
-            holding = asyncio.ensure_future(task._hold())
+            holding = asyncio.ensure_future(task._hold_lease())
             for _ in range(100):
                 await sleep(0)
                 if store.renewed:
