--- a/src/oleanderhill/limits/__init__.py
+++ b/src/oleanderhill/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of client accounts, shared among entry hosts."""
+"""Rate limits of client accounts, shared among entry hosts."""
--- a/src/oleanderhill/limits/limiting.py
+++ b/src/oleanderhill/limits/limiting.py
@@ -10,13 +10,13 @@
 from ..members.task import MembershipTask
 from ..members.wire import SendTo
 from ..settings.messages import FleetChanged
-from .accounts import AccountLimits, Demand, Turn
+from .accounts import AccountLimits, Demand, RoundRobin
 
 DEMAND_FANOUT = 2
-"""Peers that are told the demand each second, in turn.
+"""Peers that are sent the demand each second, round-robin.
 
-Told to all, it would cost 50 KB/s among 105 hosts. In turn, 9 hosts hear of each other every 4
-seconds and 105 every 52; until then they divide by what they heard last.
+Sending it to all would cost 50 KB/s among 105 hosts. In turn, 9 hosts receive each other's demand
+every 4 seconds and 105 hosts every 52; until then they divide by the latest received.
 """
 
 
@@ -30,20 +30,20 @@
         super().__init__(kernel)
         self._host = host
         self.limits = AccountLimits(fleet)
-        self._turn = Turn(DEMAND_FANOUT)
+        self._recipients = RoundRobin(DEMAND_FANOUT)
 
     def admit(self, account: str) -> float | None:
-        """Take a token; return ``None`` when admitted, else seconds until one is there."""
+        """Take a token; return ``None`` if admitted, else the seconds until one is available."""
         return self.limits.admit(account, time.monotonic())
 
     async def tick(self) -> None:
-        """Tell the peers this host's demand."""
+        """Send this host's demand to some peers."""
         members = self.kernel.find("membership", MembershipTask).live()
         peers = {h: r for h, r in members.items() if h != self._host}
         demand = self.limits.tick(frozenset(peers))
         if not demand.rate_by_account:
             return
-        for host in self._turn.next(sorted(peers)):
+        for host in self._recipients.next(sorted(peers)):
             self.kernel.post("peers", SendTo(peers[host].address, demand))
 
     @singledispatchmethod
--- a/src/oleanderhill/routing/__init__.py
+++ b/src/oleanderhill/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which whole group or plain target takes a request."""
+"""Selects a complete group or a plain target for each request."""
--- a/src/oleanderhill/routing/backoffs.py
+++ b/src/oleanderhill/routing/backoffs.py
@@ -1,12 +1,12 @@
-"""Targets that asked this host to back off: until when, and how they are tried after it.
+"""Back-offs that targets request from this entry host, and the trial request after each.
 
-A target that sheds load answers 503 and names the seconds for which it wants nothing from the host
-that it answers. Unlike a suspicion, which is this host's guess and is dropped when it seems wrong,
-the time is the target's own word: nothing that happens meanwhile ends it early.
+A target that sheds load answers 503 with the number of seconds for which this host should send it
+nothing. Unlike a suspicion, which this host infers and drops when it proves wrong, the time comes
+from the target itself: nothing ends it early.
 
-What a target asks of one host does not bind the others, which it may still serve. When the time is
-over, one request shows whether the target takes them again, as a circuit breaker that is half open
-does; sent all at once, those that are held back would have it shed anew.
+A back-off binds only the host that was answered; the target may still serve other hosts. When it
+ends, one trial request checks whether the target accepts requests again, as in the half-open state
+of a circuit breaker. Sending all waiting requests at once would overload the target again.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class _Backoff:
-    """The back-off from one target; ``on_trial`` while a request tries it after the end."""
+    """The back-off of one target; ``on_trial`` is set while a trial request is in flight."""
 
     def __init__(self, until: float) -> None:
         self.until = until
@@ -23,10 +23,10 @@
 
 
 class Backoffs:
-    """The back-offs from targets, by life. Times are seconds of one clock that no step moves.
+    """Back-offs by target incarnation. Times are seconds of one monotonic clock.
 
-    :ivar asked: times that a target asked for one or a longer one
-    :ivar held_back: times that a target was passed over for it
+    :ivar asked: back-offs that targets requested or extended
+    :ivar held_back: times that a target was skipped because of its back-off
     """
 
     def __init__(self) -> None:
@@ -34,11 +34,11 @@
         self.asked = 0
         self.held_back = 0
 
-    def ask(self, life: str, seconds: float, now: float) -> bool:
-        """Take a target's word; return whether this host backs off longer for it."""
-        backoff = self._backoff_by_life.get(life)
+    def ask(self, incarnation: str, seconds: float, now: float) -> bool:
+        """Record a back-off request of a target; return whether it extends the back-off."""
+        backoff = self._backoff_by_life.get(incarnation)
         if backoff is None:
-            backoff = self._backoff_by_life[life] = _Backoff(float("-inf"))
+            backoff = self._backoff_by_life[incarnation] = _Backoff(float("-inf"))
         backoff.on_trial = False
         if now + seconds <= backoff.until:
             return False
@@ -46,53 +46,64 @@
         self.asked += 1
         return True
 
-    def left(self, life: str, now: float) -> float:
-        """Return the seconds for which nothing goes to a target, 0 where something may."""
-        backoff = self._backoff_by_life.get(life)
+    def left(self, incarnation: str, now: float) -> float:
+        """Return the seconds left of a target's back-off, 0 if it is over or there is none."""
+        backoff = self._backoff_by_life.get(incarnation)
         return 0.0 if backoff is None else max(0.0, backoff.until - now)
 
-    def may_send(self, life: str, now: float) -> bool:
-        """Tell whether anything may go to a target now."""
-        return self.left(life, now) <= 0.0
+    def may_send(self, incarnation: str, now: float) -> bool:
+        """Return whether a target's back-off is over or there is none."""
+        return self.left(incarnation, now) <= 0.0
 
-    def may_take(self, life: str, now: float) -> bool:
-        """Tell whether a request may be placed at a target, which takes one for a trial."""
-        backoff = self._backoff_by_life.get(life)
+    def may_take(self, incarnation: str, now: float) -> bool:
+        """Return whether a request may be placed at a target; after a back-off, one trial at a
+        time.
+        """
+        backoff = self._backoff_by_life.get(incarnation)
         return backoff is None or (backoff.until <= now and not backoff.on_trial)
 
-    def take(self, life: str) -> bool:
-        """Place a request; return whether it is the trial after a back-off, which must be ended."""
-        backoff = self._backoff_by_life.get(life)
+    def take(self, incarnation: str) -> bool:
+        """Record a placed request; return whether it is the trial request after a back-off.
+
+        The end of a trial must be recorded with :meth:`trial_ended`.
+        """
+        backoff = self._backoff_by_life.get(incarnation)
         if backoff is None:
             return False
         backoff.on_trial = True
         return True
 
-    def trial_taken(self, life: str, now: float) -> bool:
-        """Take note that a target took its trial; return whether its back-off is past for that."""
-        if not self.may_send(life, now):
+    def trial_taken(self, incarnation: str, now: float) -> bool:
+        """Record that a target accepted its trial; return whether that removed its back-off."""
+        if not self.may_send(incarnation, now):
             return False
-        return self._backoff_by_life.pop(life, None) is not None
+        return self._backoff_by_life.pop(incarnation, None) is not None
 
-    def trial_ended(self, life: str) -> None:
-        """Take note that a trial is over, however it ended."""
-        backoff = self._backoff_by_life.get(life)
+    def trial_ended(self, incarnation: str) -> None:
+        """Record that a trial is over, whatever its result."""
+        backoff = self._backoff_by_life.get(incarnation)
         if backoff is not None:
             backoff.on_trial = False
 
-    def forget(self, life: str) -> None:
-        """Drop what a life asked for that is over."""
-        self._backoff_by_life.pop(life, None)
+    def forget(self, incarnation: str) -> None:
+        """Drop the back-off of an incarnation that has ended."""
+        self._backoff_by_life.pop(incarnation, None)
 
     def active(self, now: float) -> Collection[str]:
-        """Return the lives to which nothing goes now."""
-        return [life for life, backoff in self._backoff_by_life.items() if backoff.until > now]
-
-    def until_one_ends(self, lives: Collection[str], now: float) -> float | None:
+        """Return the incarnations whose back-off is not over."""
+        return [
+            incarnation
+            for incarnation, backoff in self._backoff_by_life.items()
+            if backoff.until > now
+        ]
+
+    def until_one_ends(self, incarnations: Collection[str], now: float) -> float | None:
         """Return the seconds until the first of some targets may be tried.
 
-        :return: ``None`` where this host does not back off from one of them
+        :return: ``None`` if at least one of them has no back-off
         """
-        if not lives or any(life not in self._backoff_by_life for life in lives):
+        if not incarnations or any(
+            incarnation not in self._backoff_by_life for incarnation in incarnations
+        ):
             return None
-        return min(self.left(life, now) for life in lives)
+        return min(self.left(incarnation, now) for incarnation in incarnations)
--- a/src/oleanderhill/routing/endings.py
+++ b/src/oleanderhill/routing/endings.py
@@ -1,16 +1,16 @@
-"""Which requests end the targets that run them: a pure account of endings and what was in flight.
-
-A target that ends takes with it all that it was running, and each of these goes on elsewhere. If
-one of them ended it, it ends the next one too, and the next, for as long as it comes again,
-whatever id it has and whichever entry host takes it. So what is kept is kept by what a request asks
-(:mod:`..requests.identity`), not by its id, and against the request, not only against the target.
-
-An ending counts only when the life of the target is known to be over: nobody listens any more, or
-the list says so. A lost connection alone is none. A request is quarantined when it was in flight at
-:data:`ENOUGH` endings, and those of them that no other suspect explains are :data:`UNLIKELY` times
-less likely by chance, at the rate at which targets end without it. Whoever got a whole answer since
-is cleared; whoever was in flight at the same endings as another moved with it, and neither is
-quarantined before they part.
+"""Detects requests that crash the targets that run them (queries of death). Does no I/O.
+
+When a target crashes, all requests that it was running are retried elsewhere. If one of them caused
+the crash, it crashes the next target too, for as long as it is sent again, under whatever id and
+through whichever entry host. Crashes are therefore recorded by the content of a request
+(:mod:`..requests.identity`) instead of its id, and against the request as well as the target.
+
+A crash counts only when the incarnation of the target is known to be over: its address refuses
+connections, or the host list says so. A lost connection alone does not count. A request is
+quarantined when it was in flight at :data:`ENOUGH` crashes and those of them that no other suspect
+explains are :data:`UNLIKELY` times less likely by chance, at the rate of crashes without it. A
+request that has since received a complete answer is cleared. Requests that were in flight at the
+same crashes cannot be told apart; none of them is quarantined until their crashes differ.
 """
 
 from __future__ import annotations
@@ -26,67 +26,70 @@
 _Value = TypeVar("_Value")
 
 ENOUGH = 3
-"""Endings under a request before which it is not quarantined. Two happen by chance to many when a
-whole data centre is lost."""
+"""Crashes with a request in flight that are required to quarantine it. When a whole data centre is
+lost, many requests see two by chance."""
 
 UNLIKELY = 1_000_000
-"""Times by which endings must be less likely by chance than by the request."""
+"""Factor by which the crashes must be less likely by chance than caused by the request."""
 
-SHORTEST_RUN = 0.1
-"""Seconds that count for a run at least: what a shorter time shows depends on the way there."""
+MIN_RUN_TIME = 0.1
+"""Minimum run time, in seconds, that is assumed for a request; shorter times depend mostly on the
+network round trip."""
 
-WATCHED_BEFORE = 1.0
-"""Seconds before the first ending under a request from which on others count for the rate."""
+RATE_WINDOW_LEAD = 1.0
+"""Seconds before the first crash with a request from which on other crashes count for the rate."""
 
-SURELY = 5
-"""Endings that quarantine it however many others there were. A caller tries twice at two targets,
-so that one that only ran beside others is in flight at four at most."""
+CERTAIN_CRASHES = 5
+"""Crashes that quarantine a request however many other crashes there were. A caller makes two tries
+at two targets, so a request that only ran beside others is in flight at four at most."""
 
 LIFE_PROVED_WITHIN = 15.0
-"""Seconds after a loss within which the life must be known to be over. The list drops a host after
-three silent heartbeats, 3.6 s, and a store that was down shows it up to two seconds later."""
+"""Seconds after a loss within which the incarnation must be known to be over. The list drops a host
+after three missed heartbeats, 3.6 s, and a store that was down shows it up to two seconds later."""
 
 HOLD = 1.0
-"""Seconds after a loss for which a request with :data:`ENOUGH` endings waits for the next try.
-What it does then is known everywhere before the one after it, and nobody goes along: a try at a
-time, five are enough for any, and a harmless one lost a second."""
+"""Seconds after a loss for which a request with :data:`ENOUGH` crashes waits for its next try. The
+result of that try reaches every host before the next one, and no other request accompanies it from
+crash to crash. With one try at a time, five crashes identify any culprit, and a harmless request
+loses one second."""
 
 REMEMBERED = 600.0
-"""Seconds for which an ending counts, and for which a quarantined request is sent to nobody: the
-longest lease of the store. After that one ending more quarantines it again."""
+"""Seconds for which a crash counts and a quarantined request is rejected: the longest lease of the
+store. After that, one more crash quarantines the request again."""
 
-SIGN_AFTER = 0.3
-"""Seconds after a loss from which on bytes from a life prove that it goes on; earlier ones may have
-lain in a socket when it ended."""
+SIGN_OF_LIFE_DELAY = 0.3
+"""Seconds after a loss from which on bytes from an incarnation prove that it is alive. Earlier ones
+may have been waiting in a socket when it crashed."""
 
 ENDINGS_KEPT = 64
-IN_FLIGHT_KEPT = 64
-"""Requests kept for an ending; engines run 10 to 13 at once and queue a few."""
+MAX_IN_FLIGHT_PER_CRASH = 64
+"""Requests stored for one crash; engines run 10 to 13 at once and queue a few."""
 
 QUARANTINED_KEPT = 256
-CLEARED_KEPT = 256
-"""Bounds of what is kept, whatever arrives."""
+MAX_CLEARED = 256
+"""Bounds on the stored requests, however many arrive."""
 
 REPEATED_FOR = 0.5
-"""Seconds for which news is told with each report, five times: a datagram lost is no news lost."""
+"""Seconds for which an update is included in every report, five times, so that the loss of one
+datagram loses no update."""
 
-SPREAD_FOR = 10.0
-"""Seconds for which endings and clearings are told again now and then, to those that were cut off
-or overtaken for a moment."""
+RESEND_SECONDS = 10.0
+"""Seconds for which crashes and clearings are also included in the periodic full updates, for peers
+that were partitioned or overloaded for a moment."""
 
-PART_IN_FLIGHT = 24
-"""Requests of one ending in one datagram: with names of 32 letters the largest one had 1,117 bytes,
-and fits into one frame."""
+IN_FLIGHT_PER_DATAGRAM = 24
+"""Requests of one crash in one datagram. With names of 32 characters the largest datagram had 1,117
+bytes and fits into one frame."""
 
-PART_QUARANTINED = 6
-"""Quarantined requests in one datagram, each with up to five lives of some 25 letters."""
+QUARANTINED_PER_DATAGRAM = 6
+"""Quarantined requests in one datagram, each with up to five incarnations of some 25 characters."""
 
 
 class Quarantined(NamedTuple):
-    """A request that is sent to nobody any more.
+    """A request that is no longer sent to any target.
 
     :param age: seconds since it was quarantined
-    :param lives: lives of targets that ended under it
+    :param lives: incarnations of targets that crashed while running it
     """
 
     age: float
@@ -94,12 +97,13 @@
 
 
 class EndingNews(msgspec.Struct, omit_defaults=True, tag="endings"):
-    """What one entry host tells others: sums of sets, so that hearing it twice changes nothing.
+    """An update sent between entry hosts; applying it twice has no further effect.
 
-    :param endings: by life, seconds since the loss, whether the life is known to be over, and the
-        requests that were in flight, each with the seconds for which it was
-    :param living: lives that were lost from somewhere and show signs of life, with the age of these
-    :param cleared: requests that got a whole answer after a loss, with its age
+    :param endings: by incarnation, seconds since the loss, whether the incarnation is known to be
+        over, and the requests that were in flight, each with its run time in seconds
+    :param living: incarnations that some host lost and that showed a sign of life, with the age of
+        the sign
+    :param cleared: requests that received a complete answer after a loss, with its age
     """
 
     sender: str
@@ -109,330 +113,361 @@
     quarantined: dict[str, Quarantined] = {}
 
 
-class _Ending:
+class _Crash:
+    """The loss of an incarnation, ``confirmed`` as a crash once it is known to be over."""
+
     def __init__(self, at: float) -> None:
         self.at = at
-        self.over = False
+        self.confirmed = False
         self.in_flight: dict[str, float] = {}
         self.changed_at = at
 
 
 class EndingBook:
-    """The endings that this entry host has seen or heard of.
+    """The crashes that this entry host observed or learned from peers.
 
-    ``targets`` is how many targets serve now: by it the rate of endings by chance is one for each.
+    ``targets`` is the number of targets that serve now; the rate of crashes by chance is per
+    target.
     """
 
     def __init__(self) -> None:
         self.targets = 1
-        self._judged = True
+        self._evaluated = True
         self._suspected: set[str] = set()
         self._newly_suspected: list[str] = []
-        self._ending_by_life: dict[str, _Ending] = {}
+        self._crash_by_incarnation: dict[str, _Crash] = {}
         self._cleared_at: dict[str, float] = {}
-        self._living_at: dict[str, float] = {}
+        self._alive_at: dict[str, float] = {}
         self._quarantined_at: dict[str, float] = {}
-        self._lives_by_quarantined: dict[str, tuple[str, ...]] = {}
+        self._incarnations_by_quarantined: dict[str, tuple[str, ...]] = {}
         self._probation_until: dict[str, float] = {}
 
-    # What is seen here
+    # Local observations
 
-    def lost(self, identity: str, life: str, ran_for: float, now: float) -> bool:
-        """Take note that a try was lost at a life; return whether that life is a new one.
+    def lost(self, identity: str, incarnation: str, ran_for: float, now: float) -> bool:
+        """Record that a try was lost at an incarnation; return whether it is the first loss there.
 
-        :param ran_for: seconds for which the try was there
+        :param ran_for: seconds for which the try had been running
         """
-        new = life not in self._ending_by_life
-        self._add(life, now, {identity: ran_for}, now)
+        new = incarnation not in self._crash_by_incarnation
+        self._add_to_crash(incarnation, now, {identity: ran_for}, now)
         return new
 
-    def over(self, life: str, now: float) -> list[str]:
-        """Take note that a life is over; return who is quarantined by it.
+    def over(self, incarnation: str, now: float) -> list[str]:
+        """Record that an incarnation is over; return the requests that this quarantines.
 
-        What was not lost there, or too long ago, does not count: a target may leave as planned.
+        Without a recent loss it does not count as a crash, as targets may also stop as planned.
         """
-        ending = self._ending_by_life.get(life)
-        if ending is None or ending.over or now - ending.at > LIFE_PROVED_WITHIN:
+        crash = self._crash_by_incarnation.get(incarnation)
+        if crash is None or crash.confirmed or now - crash.at > LIFE_PROVED_WITHIN:
             return []
-        ending.over, ending.changed_at = True, now
-        self._judged = False
-        return self._judge(now)
+        crash.confirmed, crash.changed_at = True, now
+        self._evaluated = False
+        return self._quarantine_suspects(now)
 
-    def lives(self, life: str, now: float, asked: bool = False) -> bool:
-        """Take a sign of life; return whether it takes an ending back.
+    def lives(self, incarnation: str, now: float, asked: bool = False) -> bool:
+        """Record a sign of life; return whether it cancels a recorded crash.
 
-        :param asked: it answers a question that was sent after the loss
+        :param asked: whether it answers a probe that was sent after the loss
         """
-        ending = self._ending_by_life.get(life)
-        if ending is None or (now - ending.at < SIGN_AFTER and not asked):
+        crash = self._crash_by_incarnation.get(incarnation)
+        if crash is None or (now - crash.at < SIGN_OF_LIFE_DELAY and not asked):
             return False
-        del self._ending_by_life[life]
-        _put(self._living_at, life, now, ENDINGS_KEPT)
+        del self._crash_by_incarnation[incarnation]
+        _put_bounded(self._alive_at, incarnation, now, ENDINGS_KEPT)
         return True
 
     def answered(self, identity: str, now: float) -> tuple[bool, list[str]]:
-        """Take note of a whole answer, which clears.
+        """Record a complete answer, which clears a request.
 
-        :return: whether there was anything to say, and who is quarantined as it explains nothing
+        :return: whether the request was suspected, and the requests that are quarantined because
+            this one no longer explains their crashes
         """
         if not self.suspicion(identity) and identity not in self._quarantined_at:
             return False, []
-        self._clear(identity, now)
-        return True, self._judge(now)
+        self._mark_cleared(identity, now)
+        return True, self._quarantine_suspects(now)
 
-    def quarantine(self, identity: str, lives: tuple[str, ...], at: float) -> bool:
-        """Take over that a request is quarantined; return whether that is news.
+    def quarantine(self, identity: str, incarnations: tuple[str, ...], at: float) -> bool:
+        """Record that a request is quarantined; return whether it was not before.
 
-        A clearing that came later than what it was quarantined for goes first.
+        A clearing that is newer than the quarantine takes precedence.
         """
         if self._cleared_at.get(identity, float("-inf")) > at:
             return False
-        news = identity not in self._quarantined_at
-        if news:
-            _put(self._quarantined_at, identity, at, QUARANTINED_KEPT)
-            self._lives_by_quarantined[identity] = lives
-            for gone in self._lives_by_quarantined.keys() - self._quarantined_at.keys():
-                del self._lives_by_quarantined[gone]
-        return news
-
-    def recall(self, in_flight_by_life: Mapping[str, Mapping[str, float]], now: float) -> list[str]:
-        """Take over endings that were known before this process; return who is quarantined.
-
-        Their moments are not known any more; they count from now on.
-
-        :param in_flight_by_life: what was in flight, and for how many seconds
+        is_new = identity not in self._quarantined_at
+        if is_new:
+            _put_bounded(self._quarantined_at, identity, at, QUARANTINED_KEPT)
+            self._incarnations_by_quarantined[identity] = incarnations
+            for gone in self._incarnations_by_quarantined.keys() - self._quarantined_at.keys():
+                del self._incarnations_by_quarantined[gone]
+        return is_new
+
+    def recall(
+        self, in_flight_by_incarnation: Mapping[str, Mapping[str, float]], now: float
+    ) -> list[str]:
+        """Restore crashes from before the start of this process; return the requests quarantined.
+
+        Their times are not known any more, so they count as of now.
+
+        :param in_flight_by_incarnation: requests in flight at each crash, with their run times in
+            seconds
         """
-        for life, in_flight in in_flight_by_life.items():
-            ending = self._add(life, now, in_flight, now)
-            if ending is not None and not ending.over:
-                ending.over, self._judged = True, False
-        return self._judge(now)
+        for incarnation, in_flight in in_flight_by_incarnation.items():
+            crash = self._add_to_crash(incarnation, now, in_flight, now)
+            if crash is not None and not crash.confirmed:
+                crash.confirmed, self._evaluated = True, False
+        return self._quarantine_suspects(now)
 
     def take_suspected(self) -> list[str]:
-        """Return who has come to :data:`ENOUGH` endings since this was last asked."""
+        """Return the requests that reached :data:`ENOUGH` crashes since the previous call."""
         found, self._newly_suspected = self._newly_suspected, []
         return found
 
     def endings_of(self, identity: str) -> dict[str, dict[str, float]]:
-        """Return the lives that ended under a request, each with all that were in flight."""
+        """Return the incarnations that crashed under a request, with all requests in flight."""
         return {
-            life: dict(e.in_flight)
-            for life, e in self._ending_by_life.items()
-            if e.over and identity in e.in_flight
+            incarnation: dict(c.in_flight)
+            for incarnation, c in self._crash_by_incarnation.items()
+            if c.confirmed and identity in c.in_flight
         }
 
     def release(self, identity: str, now: float) -> None:
-        """Let a quarantined request be tried again, once: the time is over."""
+        """End a quarantine. The request may be tried again, but is on probation.
+
+        One more crash with it in flight then quarantines it again.
+        """
         if self._quarantined_at.pop(identity, None) is None:
             return
-        self._lives_by_quarantined.pop(identity, None)
-        for ending in self._ending_by_life.values():
-            ending.in_flight.pop(identity, None)
-        _put(self._probation_until, identity, now + REMEMBERED, QUARANTINED_KEPT)
+        self._incarnations_by_quarantined.pop(identity, None)
+        for crash in self._crash_by_incarnation.values():
+            crash.in_flight.pop(identity, None)
+        _put_bounded(self._probation_until, identity, now + REMEMBERED, QUARANTINED_KEPT)
 
-    # What is asked
+    # Queries
 
     def quarantined(self, identity: str) -> tuple[str, ...] | None:
-        """Return the lives that ended under a quarantined request, ``None`` for any other."""
+        """Return the incarnations that a quarantined request crashed, ``None`` for any other."""
         if identity not in self._quarantined_at:
             return None
-        return self._lives_by_quarantined[identity]
+        return self._incarnations_by_quarantined[identity]
 
     def problem(self, identity: str, now: float, ran: Ran) -> Problem | None:
-        """Return why a request is not sent, ``None`` for one that may be.
+        """Return why a request may not be sent, ``None`` if it may.
 
         :param ran: whether it was run, as far as is known
         """
-        lives = self.quarantined(identity)
-        if lives is not None:
-            return ends_targets(len(lives), ran)
+        incarnations = self.quarantined(identity)
+        if incarnations is not None:
+            return ends_targets(len(incarnations), ran)
         wait = self.hold(identity, now)
         return held_back(wait, ran) if wait else None
 
     def suspicion(self, identity: str) -> int:
-        """Return how many losses a request was in flight at, also where no life is proved over."""
-        return sum(identity in e.in_flight for e in self._ending_by_life.values())
+        """Return at how many losses a request was in flight, confirmed as crashes or not."""
+        return sum(identity in c.in_flight for c in self._crash_by_incarnation.values())
 
     def hold(self, identity: str, now: float) -> float:
-        """Return the seconds for which a request has to wait for its next try, 0 for none."""
-        lost = [e for e in self._ending_by_life.values() if identity in e.in_flight]
-        if sum(e.over for e in lost) < ENOUGH:
+        """Return the seconds that a request must wait before its next try, 0 for none."""
+        lost = [c for c in self._crash_by_incarnation.values() if identity in c.in_flight]
+        if sum(c.confirmed for c in lost) < ENOUGH:
             return 0.0
-        return max(0.0, HOLD - (now - max(e.at for e in lost)))
+        return max(0.0, HOLD - (now - max(c.at for c in lost)))
 
     @property
     def sizes(self) -> tuple[int, int]:
-        """Return how many endings and quarantined requests are kept."""
-        return len(self._ending_by_life), len(self._quarantined_at)
+        """Return how many crashes and quarantined requests are stored."""
+        return len(self._crash_by_incarnation), len(self._quarantined_at)
 
-    # What entry hosts tell each other
+    # Updates between entry hosts
 
     def news(self, sender: str, now: float, again: bool) -> list[EndingNews]:
-        """Return what to tell, in parts that fit into a datagram each.
+        """Return the updates to send to peers, each of which fits into a datagram.
 
-        :param again: tell also what was told before
+        :param again: whether to include what was sent before
         """
-        within = SPREAD_FOR if again else REPEATED_FOR
-        told = [(n, e) for n, e in self._ending_by_life.items() if now - e.changed_at <= within]
-        parts = [
-            EndingNews(sender, {life: (round(now - e.at, 3), e.over, chunk)})
-            for life, e in told
-            for chunk in _parts(e.in_flight)
-            or [{}]  # nothing in flight any more: it counts for the rate
+        within = RESEND_SECONDS if again else REPEATED_FOR
+        due_crashes = [
+            (n, c) for n, c in self._crash_by_incarnation.items() if now - c.changed_at <= within
+        ]
+        updates = [
+            EndingNews(sender, {incarnation: (round(now - c.at, 3), c.confirmed, chunk)})
+            for incarnation, c in due_crashes
+            for chunk in _in_flight_chunks(c.in_flight)
+            or [{}]  # without requests in flight a crash still counts for the rate
+        ]
+        cleared = {
+            i: round(now - at, 3) for i, at in self._cleared_at.items() if now - at <= within
+        }
+        living = {n: round(now - at, 3) for n, at in self._alive_at.items() if now - at <= within}
+        updates += [
+            EndingNews(sender, cleared={i: cleared[i] for i in c}) for c in _chunks([*cleared])
+        ]
+        updates += [
+            EndingNews(sender, living={n: living[n] for n in c}) for c in _chunks([*living])
         ]
-        ages = {i: round(now - at, 3) for i, at in self._cleared_at.items() if now - at <= within}
-        living = {n: round(now - at, 3) for n, at in self._living_at.items() if now - at <= within}
-        parts += [EndingNews(sender, cleared={i: ages[i] for i in c}) for c in _chunks([*ages])]
-        parts += [EndingNews(sender, living={n: living[n] for n in c}) for c in _chunks([*living])]
         due = [i for i, at in self._quarantined_at.items() if again or now - at <= REPEATED_FOR]
-        for chunk in _chunks(due, PART_QUARANTINED):
+        for chunk in _chunks(due, QUARANTINED_PER_DATAGRAM):
             rows = {i: self._quarantined_row(i, now) for i in chunk}
-            parts.append(EndingNews(sender, quarantined=rows))
-        return parts
+            updates.append(EndingNews(sender, quarantined=rows))
+        return updates
 
     def hear(self, news: EndingNews, now: float) -> list[str]:
-        """Take what a peer tells; return who is quarantined by it."""
+        """Apply an update of a peer; return the requests that this quarantines."""
         for identity, age in news.cleared.items():
-            if now - age > self._cleared_at.get(identity, float("-inf")) + SIGN_AFTER:
-                self._clear(identity, now - age)
-        for life, age in news.living.items():
-            if self.lives(life, now - age):
-                self._living_at[life] = now - age
+            if now - age > self._cleared_at.get(identity, float("-inf")) + SIGN_OF_LIFE_DELAY:
+                self._mark_cleared(identity, now - age)
+        for incarnation, age in news.living.items():
+            if self.lives(incarnation, now - age):
+                self._alive_at[incarnation] = now - age
         found = [
-            i
-            for i, told in news.quarantined.items()
-            if self.quarantine(i, told.lives, now - told.age)
+            i for i, row in news.quarantined.items() if self.quarantine(i, row.lives, now - row.age)
         ]
-        for life, (age, over, in_flight) in news.endings.items():
-            ending = self._add(life, now - age, in_flight, now)
-            if ending is not None and over and not ending.over:
-                ending.over, ending.changed_at = True, now
-                self._judged = False
-        return [*found, *self._judge(now)]
+        for incarnation, (age, confirmed, in_flight) in news.endings.items():
+            crash = self._add_to_crash(incarnation, now - age, in_flight, now)
+            if crash is not None and confirmed and not crash.confirmed:
+                crash.confirmed, crash.changed_at = True, now
+                self._evaluated = False
+        return [*found, *self._quarantine_suspects(now)]
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to count, and let those be tried again whose time is over."""
-        for life, ending in list(self._ending_by_life.items()):
-            if now - ending.at > (REMEMBERED if ending.over else LIFE_PROVED_WITHIN):
-                del self._ending_by_life[life]
+        """Drop expired entries and release requests whose quarantine is over."""
+        for incarnation, crash in list(self._crash_by_incarnation.items()):
+            if now - crash.at > (REMEMBERED if crash.confirmed else LIFE_PROVED_WITHIN):
+                del self._crash_by_incarnation[incarnation]
         for identity in [i for i, at in self._quarantined_at.items() if now - at > REMEMBERED]:
             self.release(identity, now)
-        for table in (self._cleared_at, self._living_at, self._probation_until):
+        for table in (self._cleared_at, self._alive_at, self._probation_until):
             for key in [k for k, at in table.items() if now - at > REMEMBERED]:
                 del table[key]
 
     def _quarantined_row(self, identity: str, now: float) -> Quarantined:
-        lives = self._lives_by_quarantined[identity][:SURELY]
-        return Quarantined(round(now - self._quarantined_at[identity], 3), lives)
-
-    def _add(
-        self, life: str, at: float, in_flight: Mapping[str, float], now: float
-    ) -> _Ending | None:
-        """Put requests in flight at an ending, but for those cleared since."""
-        if self._living_at.get(life, float("-inf")) >= at + SIGN_AFTER:
+        incarnations = self._incarnations_by_quarantined[identity][:CERTAIN_CRASHES]
+        return Quarantined(round(now - self._quarantined_at[identity], 3), incarnations)
+
+    def _add_to_crash(
+        self, incarnation: str, at: float, in_flight: Mapping[str, float], now: float
+    ) -> _Crash | None:
+        """Add requests in flight to the crash of an incarnation, except those cleared since.
+
+        Return ``None`` if a later sign of life shows that the incarnation did not crash.
+        """
+        if self._alive_at.get(incarnation, float("-inf")) >= at + SIGN_OF_LIFE_DELAY:
             return None
-        ending = self._ending_by_life.get(life)
-        if ending is None:
-            ending = _Ending(at)
-            _put(self._ending_by_life, life, ending, ENDINGS_KEPT)
+        crash = self._crash_by_incarnation.get(incarnation)
+        if crash is None:
+            crash = _Crash(at)
+            _put_bounded(self._crash_by_incarnation, incarnation, crash, ENDINGS_KEPT)
         for identity, seconds in in_flight.items():
             cleared = self._cleared_at.get(identity, float("-inf")) > at
-            if cleared or identity in ending.in_flight or len(ending.in_flight) >= IN_FLIGHT_KEPT:
+            if (
+                cleared
+                or identity in crash.in_flight
+                or len(crash.in_flight) >= MAX_IN_FLIGHT_PER_CRASH
+            ):
                 continue
-            ending.in_flight[identity] = seconds
-            ending.changed_at = now
-            self._judged = self._judged and not ending.over
-        return ending
-
-    def _clear(self, identity: str, at: float) -> None:
-        for ending in self._ending_by_life.values():
-            if ending.at < at and ending.in_flight.pop(identity, None) is not None:
-                self._judged = False
+            crash.in_flight[identity] = seconds
+            crash.changed_at = now
+            self._evaluated = self._evaluated and not crash.confirmed
+        return crash
+
+    def _mark_cleared(self, identity: str, at: float) -> None:
+        for crash in self._crash_by_incarnation.values():
+            if crash.at < at and crash.in_flight.pop(identity, None) is not None:
+                self._evaluated = False
         if self._quarantined_at.get(identity, float("inf")) < at:
             del self._quarantined_at[identity]
-            del self._lives_by_quarantined[identity]
-        _put(self._cleared_at, identity, at, CLEARED_KEPT)
+            del self._incarnations_by_quarantined[identity]
+        _put_bounded(self._cleared_at, identity, at, MAX_CLEARED)
 
-    def _judge(self, now: float) -> list[str]:
-        """Return who is quarantined by what is known, if it has changed since it was last judged.
+    def _quarantine_suspects(self, now: float) -> list[str]:
+        """Quarantine crash-causing requests; return them. Does nothing if no input has changed.
 
-        Peers tell the same several times: judged each time, 64 endings of 64 requests take 2.3 ms.
+        Peers repeat their updates, and evaluating 64 crashes of 64 requests takes 2.3 ms.
         """
-        if self._judged:
+        if self._evaluated:
             return []
-        self._judged = True
+        self._evaluated = True
         found = []
-        while (identity := self._poison_request(now)) is not None:
-            lives = tuple(n for n, e in self._ending_by_life.items() if identity in e.in_flight)
-            self.quarantine(identity, lives, now)
+        while (identity := self._find_crash_causing_request(now)) is not None:
+            incarnations = tuple(
+                n for n, c in self._crash_by_incarnation.items() if identity in c.in_flight
+            )
+            self.quarantine(identity, incarnations, now)
             found.append(identity)
-        over = _lives_by_identity({n: e for n, e in self._ending_by_life.items() if e.over})
-        suspected = {i for i, held in over.items() if len(held) >= ENOUGH}
+        confirmed = _incarnations_by_identity(
+            {n: c for n, c in self._crash_by_incarnation.items() if c.confirmed}
+        )
+        suspected = {i for i, held in confirmed.items() if len(held) >= ENOUGH}
         self._newly_suspected += sorted(suspected - self._suspected - self._quarantined_at.keys())
         self._suspected = suspected
         return found
 
-    def _poison_request(self, now: float) -> str | None:
-        """Return a request that is poison by now, ``None`` if none is."""
-        over = {life: e for life, e in self._ending_by_life.items() if e.over}
+    def _find_crash_causing_request(self, now: float) -> str | None:
+        """Return a request that the recorded crashes show to be crash-causing, ``None`` if none."""
+        confirmed = {
+            incarnation: c for incarnation, c in self._crash_by_incarnation.items() if c.confirmed
+        }
         unexplained = {
-            life: e
-            for life, e in over.items()
-            if not e.in_flight.keys() & self._quarantined_at.keys()
+            incarnation: c
+            for incarnation, c in confirmed.items()
+            if not c.in_flight.keys() & self._quarantined_at.keys()
         }
-        all_by_identity = _lives_by_identity(over)
-        own_by_identity = _lives_by_identity(unexplained)
-        suspects = {i for i, lives in own_by_identity.items() if len(lives) > 1}
+        all_by_identity = _incarnations_by_identity(confirmed)
+        own_by_identity = _incarnations_by_identity(unexplained)
+        suspects = {i for i, incarnations in own_by_identity.items() if len(incarnations) > 1}
         for identity in sorted(own_by_identity):
             if self._probation_until.get(identity, float("-inf")) > now:
                 return identity
-            lives, others = all_by_identity[identity], suspects - {identity}
-            if len(lives) < ENOUGH or any(lives <= all_by_identity[i] for i in others):
+            incarnations, others = all_by_identity[identity], suspects - {identity}
+            if len(incarnations) < ENOUGH or any(
+                incarnations <= all_by_identity[i] for i in others
+            ):
                 continue
-            surely = len(lives) >= SURELY and identity in suspects
-            if surely or self._unlikely(identity, unexplained, others):
+            certain = len(incarnations) >= CERTAIN_CRASHES and identity in suspects
+            if certain or self._is_unlikely_by_chance(identity, unexplained, others):
                 return identity
         return None
 
-    def _unlikely(
-        self, identity: str, unexplained: Mapping[str, _Ending], others: Set[str]
+    def _is_unlikely_by_chance(
+        self, identity: str, unexplained: Mapping[str, _Crash], others: Set[str]
     ) -> bool:
-        """Tell whether a request hardly was at so many endings by chance.
+        """Return whether a request is unlikely to have been in flight at so many crashes by chance.
 
-        What another suspect explains as well says nothing of this one: they went together.
+        Crashes that another suspect explains as well are not evidence against this request.
 
-        :param unexplained: endings without any quarantined request in flight
+        :param unexplained: crashes without any quarantined request in flight
         :param others: other requests that were in flight at more than one of them
         """
-        own = [e for e in unexplained.values() if identity in e.in_flight]
-        since, until = min(e.at for e in own) - WATCHED_BEFORE, max(e.at for e in own)
+        own = [c for c in unexplained.values() if identity in c.in_flight]
+        since, until = min(c.at for c in own) - RATE_WINDOW_LEAD, max(c.at for c in own)
         by_chance = sum(
-            identity not in e.in_flight and since <= e.at <= until for e in unexplained.values()
+            identity not in c.in_flight and since <= c.at <= until for c in unexplained.values()
         )
         rate = (by_chance + 1) / (max(1, self.targets) * (until - since))
-        alone = [e.in_flight[identity] for e in own if not e.in_flight.keys() & others]
-        return math.prod(1 / (rate * max(SHORTEST_RUN, s)) for s in alone) >= UNLIKELY
+        unshared = [c.in_flight[identity] for c in own if not c.in_flight.keys() & others]
+        return math.prod(1 / (rate * max(MIN_RUN_TIME, s)) for s in unshared) >= UNLIKELY
 
 
-def _lives_by_identity(ending_by_life: Mapping[str, _Ending]) -> dict[str, set[str]]:
+def _incarnations_by_identity(crash_by_incarnation: Mapping[str, _Crash]) -> dict[str, set[str]]:
     found: dict[str, set[str]] = {}
-    for life, ending in ending_by_life.items():
-        for identity in ending.in_flight:
-            found.setdefault(identity, set()).add(life)
+    for incarnation, crash in crash_by_incarnation.items():
+        for identity in crash.in_flight:
+            found.setdefault(identity, set()).add(incarnation)
     return found
 
 
-def _chunks(names: Sequence[str], size: int = PART_IN_FLIGHT) -> list[list[str]]:
+def _chunks(names: Sequence[str], size: int = IN_FLIGHT_PER_DATAGRAM) -> list[list[str]]:
     return [list(names[n : n + size]) for n in range(0, len(names), size)]
 
 
-def _parts(in_flight: Mapping[str, float]) -> list[dict[str, float]]:
+def _in_flight_chunks(in_flight: Mapping[str, float]) -> list[dict[str, float]]:
     return [{i: round(in_flight[i], 2) for i in chunk} for chunk in _chunks(sorted(in_flight))]
 
 
-def _put(table: dict[str, _Value], key: str, value: _Value, most: int) -> None:
-    """Put a value under a key, as the newest; the oldest one goes where there are too many."""
+def _put_bounded(table: dict[str, _Value], key: str, value: _Value, limit: int) -> None:
+    """Store a value as the newest; drop the oldest ones above the limit."""
     table.pop(key, None)
     table[key] = value
-    while len(table) > most:
+    while len(table) > limit:
         del table[next(iter(table))]
--- a/src/oleanderhill/routing/evidence.py
+++ b/src/oleanderhill/routing/evidence.py
@@ -1,7 +1,7 @@
-"""What an entry host knows of groups it does not own: evidence from owners and from own probes.
+"""Evidence about groups that this entry host does not own, from their owners and its own probes.
 
-The pure half of :class:`~.dispatch.RouterTask`: it turns messages into entries of the
-:class:`~.routing.Router`, dated by when their facts held and not by when they arrived.
+The part of :class:`~.dispatch.RouterTask` without I/O: it turns messages into entries of the
+:class:`~.router.Router`, dated by when the facts held instead of when the messages arrived.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 from .wholeness import EVIDENCE_MAX_AGE, judge, view_of
 
 SELF_PROBE_AFTER = 1.7
-"""Age of evidence at which an entry host asks the members itself: their owner may be gone."""
+"""Age of evidence, in seconds, at which an entry host probes the members itself, as their owner may
+be gone."""
 
-WHOLE = 2
-ACCEPTING = 1
+FLAG_COMPLETE = 2
+FLAG_ACCEPTING = 1
 
 FORGET_AFTER = 300.0
-"""Age of evidence at which a group is forgotten."""
+"""Age of evidence, in seconds, at which a group is forgotten."""
 
 
 class DomainRecords(NamedTuple):
-    """The groups of a domain as its owner listed them."""
+    """The groups of a domain as listed by its owner."""
 
     owner_epoch: int
     version: int
@@ -35,9 +36,9 @@
 
 
 class EvidenceBook:
-    """Keeps the router's view up to date.
+    """Applies evidence to the router's view.
 
-    :param router: whose view it is
+    :param router: the router to update
     """
 
     def __init__(self, router: Router) -> None:
@@ -48,9 +49,9 @@
         self._offsets = ClockOffsets()
 
     def receive(self, body: DomainEvidence, envelope: Received) -> bool:
-        """Take in what a peer found at a domain that it owns.
+        """Apply a peer's evidence about a domain that it owns.
 
-        Return whether its records are needed to understand it.
+        Return whether the domain's records are needed to read it.
         """
         self.owner_by_domain[body.domain] = envelope.sender
         self.heard_at_by_domain[body.domain] = envelope.arrived
@@ -58,36 +59,39 @@
             envelope.sender, envelope.incarnation, envelope.stamp, envelope.arrived
         )
         self._keep(body)
-        # Until the sender's clock is known, its message may have lain in a socket for long.
+        # Until the sender's clock offset is known, the message may be old: it may have waited in
+        # a socket.
         if sent_at is None:
             return False
         return not self.learn(body, sent_at)
 
     def learn(self, body: DomainEvidence, sent_at: float) -> bool:
-        """Take in evidence whose ages refer to the local time ``sent_at``.
+        """Apply evidence whose ages are relative to the local time ``sent_at``.
 
-        Return whether its states could be understood.
+        Return whether the records for its states are known.
         """
         self._keep(body)
-        held = self.records_by_domain.get(body.domain)
-        if held is None or (held.owner_epoch, held.version) < (body.owner_epoch, body.version):
+        known = self.records_by_domain.get(body.domain)
+        if known is None or (known.owner_epoch, known.version) < (body.owner_epoch, body.version):
             return False
-        if (held.owner_epoch, held.version) > (body.owner_epoch, body.version):
+        if (known.owner_epoch, known.version) > (body.owner_epoch, body.version):
             return True
-        for record, state in zip(held.records, body.states, strict=True):
-            self._learn_one(body, record, state, sent_at)
-        self.router.forget_absent(body.domain, body.owner_epoch, [r.group for r in held.records])
+        for record, state in zip(known.records, body.states, strict=True):
+            self._apply_state(body, record, state, sent_at)
+        self.router.forget_absent(body.domain, body.owner_epoch, [r.group for r in known.records])
         return True
 
     def to_probe(self, now: float) -> list[tuple[Evidence, GroupRecord]]:
-        """Return the groups whose evidence is growing stale, with their records."""
+        """Return the groups with stale evidence and their records; drop those with expired
+        evidence.
+        """
         found = []
         for evidence in self.router.stale(now, SELF_PROBE_AFTER):
             view = evidence.view
             if now - evidence.proven_at > FORGET_AFTER:
                 self.router.by_group.pop(view.group, None)
             else:
-                found.append((evidence, _record(view)))
+                found.append((evidence, _make_record(view)))
         return found
 
     def probed(
@@ -98,33 +102,33 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Take in the reports of an own probe of a group's members."""
+        """Apply the members' reports of this host's own probe of a group."""
         if not judge(record, seen_by_host, now, EVIDENCE_MAX_AGE).whole:
             return
         view = view_of(record, seen_by_host, frozenset(), now)
-        # A drain is known to the owner alone; the members' reports don't show it.
-        closing = evidence.view.whole and not evidence.view.accepting
-        view = view._replace(accepting=view.accepting and not closing)
+        # Only the owner knows of a drain; the members' reports do not show it.
+        draining = evidence.view.whole and not evidence.view.accepting
+        view = view._replace(accepting=view.accepting and not draining)
         self.router.learn(evidence._replace(view=view, proven_at=sent_at))
 
     def _keep(self, body: DomainEvidence) -> None:
-        """Keep the newest records of a domain, by its owner first.
+        """Store the records of a domain if they are newer, compared by owner epoch first.
 
-        An owner that went on unsaved may have counted versions above those of its successor.
+        An owner that continued without saving may have reached a higher version than its successor.
         """
         if len(body.records) != len(body.states):
             return
-        held = self.records_by_domain.get(body.domain)
-        if held is None or (body.owner_epoch, body.version) > (held.owner_epoch, held.version):
+        known = self.records_by_domain.get(body.domain)
+        if known is None or (body.owner_epoch, body.version) > (known.owner_epoch, known.version):
             records = DomainRecords(body.owner_epoch, body.version, body.records)
             self.records_by_domain[body.domain] = records
 
-    def _learn_one(
+    def _apply_state(
         self, body: DomainEvidence, record: GroupRecord, state: GroupState, sent_at: float
     ) -> None:
         self.router.learn(
             Evidence(
-                _view(record, state),
+                _make_view(record, state),
                 body.data_centre,
                 body.domain,
                 body.owner_epoch,
@@ -134,19 +138,19 @@
 
 
 def state_of(view: GroupView) -> GroupState:
-    """Return the part of a view that changes often."""
-    flags = WHOLE * view.whole + ACCEPTING * view.accepting
+    """Return the frequently changing part of a view."""
+    flags = FLAG_COMPLETE * view.whole + FLAG_ACCEPTING * view.accepting
     return GroupState(flags, view.age_ms, view.running, view.waiting, view.capacity)
 
 
-def _view(record: GroupRecord, state: GroupState) -> GroupView:
+def _make_view(record: GroupRecord, state: GroupState) -> GroupView:
     return GroupView(
         record.group,
         record.epoch,
         record.spec,
         record.members,
-        bool(state.flags & WHOLE),
-        bool(state.flags & ACCEPTING),
+        bool(state.flags & FLAG_COMPLETE),
+        bool(state.flags & FLAG_ACCEPTING),
         state.age_ms,
         state.running,
         state.waiting,
@@ -154,5 +158,5 @@
     )
 
 
-def _record(view: GroupView) -> GroupRecord:
+def _make_record(view: GroupView) -> GroupRecord:
     return GroupRecord(view.group, view.epoch, view.spec, view.members)
--- a/src/oleanderhill/routing/messages.py
+++ b/src/oleanderhill/routing/messages.py
@@ -1,4 +1,4 @@
-"""What owners of domains tell entry hosts that route requests."""
+"""Messages from the owners of domains to the entry hosts that route requests."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class GroupState(NamedTuple):
-    """The part of a :class:`~..types.GroupView` that changes often; about 8 bytes on the wire.
+    """The frequently changing part of a :class:`~..types.GroupView`; about 8 bytes when encoded.
 
-    States come in the order of the records of the same version, so they need no names.
+    States are in the order of the records of the same version, so they contain no names.
 
-    :param flags: 2 for whole, 1 for accepting
+    :param flags: 2 for complete, 1 for accepting requests
     """
 
     flags: int
@@ -23,12 +23,12 @@
 
 
 class DomainEvidence(NamedTuple):
-    """What the owner of a domain found at its hosts.
+    """What the owner of a domain observed at its hosts.
 
-    :param version: of the ledger whose groups the states are about
-    :param records: the groups in the order of the states, sent when they changed and to those who
-        ask; else empty
-    :param usable: hosts of the domain that are present and staying
+    :param version: version of the ledger that lists the groups of the states
+    :param records: the groups in the order of the states; sent when they have changed and to hosts
+        that request them, otherwise empty
+    :param usable: number of hosts of the domain that are present and not leaving
     """
 
     domain: str
@@ -41,15 +41,15 @@
 
 
 class RecordsWanted(NamedTuple):
-    """Ask the owner of a domain for the records that its states are about."""
+    """Requests the records that a domain's states refer to from its owner."""
 
     domain: str
 
 
 class LocalEvidence(NamedTuple):
-    """Evidence of this entry host's own stewards, with its records.
+    """Evidence of this entry host's own domain controllers, with its records.
 
-    :param at: local monotonic time to which the ages refer
+    :param at: local monotonic time that the ages are relative to
     """
 
     evidence: DomainEvidence
--- a/src/oleanderhill/routing/router.py
+++ b/src/oleanderhill/routing/router.py
@@ -1,8 +1,8 @@
-"""Which group takes a request: a pure choice over evidence, load and prefix affinity.
+"""Selects the group for a request by evidence, load and prefix affinity. Does no I/O.
 
-A group is a candidate only with fresh evidence that it is whole. Reported load lags: to tell
-whether a group is full, requests that this entry host started since the report are added to it; to
-compare groups, own requests count in full and those of others in part.
+A group is a candidate only while fresh evidence shows that it is complete. Reported load lags. To
+decide whether a group is full, requests that this entry host started since the report are added to
+it. To compare groups, this host's requests count in full and those of other hosts in part.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 from .wholeness import EVIDENCE_MAX_AGE
 
 REPORT_LAG = 0.5
-"""Seconds by which engines report their load late."""
+"""Seconds by which the load that engines report lags."""
 
-OTHERS_WEIGHT = 0.3
-"""Weight of requests that others sent, against own ones, when groups are compared.
+PEER_REQUEST_WEIGHT = 0.3
+"""Weight of other hosts' requests, relative to this host's own, when groups are compared.
 
-Reports are about as old as a short request is long. Taken in full, they send every entry host to
-the group that was idle a second ago; own requests are known at once.
+Reports are about as old as a short request is long. At full weight they would send every entry host
+to the group that was idle a second ago. A host knows its own requests without delay.
 """
 
-FAR_PENALTY = 0.35
-"""Load that another data centre's group is charged, as a fraction of its capacity."""
+REMOTE_PENALTY = 0.35
+"""Load added to a group of another data centre, as a fraction of its capacity."""
 
-FULL = 2.0
-"""Estimated load over capacity at which a group gets no more requests: one batch waiting."""
+FULL_LOAD = 2.0
+"""Ratio of estimated load to capacity at which a group gets no more requests: one batch waits."""
 
 EJECT_SECONDS = 5.0
 EJECT_LIMIT = 1 / 3
-"""At most this part of a model's groups is ejected, so that overload isn't taken for failure."""
+"""Maximum fraction of a model's groups that is ejected, as overload can look like failure."""
 
 
 class Evidence(NamedTuple):
-    """A group as known to this entry host.
+    """The state of a group as known to this entry host.
 
-    :param proven_at: local time for which the evidence holds: all members were asked after it
+    :param proven_at: local time for which the evidence holds: all members were probed after it
     """
 
     view: GroupView
@@ -51,7 +51,7 @@
 
 
 class Wanted(NamedTuple):
-    """What a request asks of a group. An empty version takes any."""
+    """Requirements of a request on its group. An empty version matches any."""
 
     model: str
     version: str = ""
@@ -60,7 +60,7 @@
 
 
 class Choice(NamedTuple):
-    """A chosen group and why."""
+    """The chosen group and the reason for the choice."""
 
     group: str
     epoch: int
@@ -70,12 +70,12 @@
 
     @property
     def target(self) -> str:
-        """Return the group with its epoch: after a repair it is worth another try."""
+        """Return the group with its epoch, so that a repaired group counts as a new target."""
         return target_id(self.group, self.epoch)
 
 
 class NoChoice(NamedTuple):
-    """Why no group could be chosen; ``full`` when groups exist but have no room."""
+    """Why no group was chosen; ``full`` if groups are available but at their load limit."""
 
     reason: str
     full: bool
@@ -83,14 +83,14 @@
 
 
 def target_id(group: str, epoch: int) -> str:
-    """Return the name under which an attempt remembers what it tried."""
+    """Return the id under which an attempt records the targets that it tried."""
     return f"{group}@{epoch}"
 
 
 class Router:
     """The groups that one entry host may send to.
 
-    :param data_centre: of this entry host; its groups are preferred
+    :param data_centre: of this entry host; groups of the same one are preferred
     """
 
     def __init__(self, data_centre: str, rng: random.Random) -> None:
@@ -103,18 +103,18 @@
         self._rng = rng
 
     def learn(self, evidence: Evidence) -> None:
-        """Take in evidence; an older owner, epoch or moment does not replace a newer one."""
+        """Store evidence, unless a newer owner, epoch or time is already stored."""
         group = evidence.view.group
-        held = self.by_group.get(group)
-        if held is not None and _rank(evidence) < _rank(held):
+        known = self.by_group.get(group)
+        if known is not None and _rank(evidence) < _rank(known):
             return
         self.by_group[group] = evidence
 
     def forget_absent(self, domain: str, owner_epoch: int, groups: Iterable[str]) -> None:
         """Drop the groups of a domain that its owner no longer lists."""
         listed = set(groups)
-        for group, held in list(self.by_group.items()):
-            if held.domain == domain and group not in listed and held.owner_epoch <= owner_epoch:
+        for group, known in list(self.by_group.items()):
+            if known.domain == domain and group not in listed and known.owner_epoch <= owner_epoch:
                 del self.by_group[group]
                 self._starts.pop(group, None)
                 self._ejected_until.pop(group, None)
@@ -124,28 +124,31 @@
         return [e for e in self.by_group.values() if now - e.proven_at > after]
 
     def may_send(self, group: str, epoch: int, now: float) -> bool:
-        """Tell whether a request may go to this group and epoch at this very moment.
+        """Return whether a request may be sent to this group and epoch now.
 
-        Asked right before the bytes leave: between choice and sending a process may be paused,
-        and the group may have lost a member meanwhile.
+        Checked immediately before sending: the process may have been paused since the choice, and
+        the group may have lost a member meanwhile.
         """
-        held = self.by_group.get(group)
-        if held is None or held.view.epoch != epoch:
+        known = self.by_group.get(group)
+        if known is None or known.view.epoch != epoch:
             return False
-        # The list is looked at here too, not only by the owner of the domain: while nobody owns
-        # the domain, a leaving host would get new requests until somebody has taken it.
-        if any(m.host in self.leaving_hosts for m in held.view.members):
+        # The owner of the domain checks the host list too. While the domain has no owner, a leaving
+        # host would otherwise get new requests until another host takes the domain over.
+        if any(m.host in self.leaving_hosts for m in known.view.members):
             return False
-        return held.view.accepting and now - held.proven_at <= EVIDENCE_MAX_AGE
+        return known.view.accepting and now - known.proven_at <= EVIDENCE_MAX_AGE
 
-    def still_whole(self, group: str, epoch: int, now: float) -> bool:
-        """Tell whether requests in flight at a group may stay: it may be leaving, not broken."""
-        held = self.by_group.get(group)
-        if held is None:
+    def is_still_complete(self, group: str, epoch: int, now: float) -> bool:
+        """Return whether requests in flight at a group may continue.
+
+        The group may be leaving, but must be complete.
+        """
+        known = self.by_group.get(group)
+        if known is None:
             return False
-        if held.view.epoch != epoch or not held.view.whole:
+        if known.view.epoch != epoch or not known.view.whole:
             return False
-        return now - held.proven_at <= 2 * EVIDENCE_MAX_AGE
+        return now - known.proven_at <= 2 * EVIDENCE_MAX_AGE
 
     def choose(
         self, wanted: Wanted, now: float, exclude: frozenset[str] = frozenset()
@@ -157,18 +160,18 @@
         offering = [e for e in self.by_group.values() if _offers(e.view, wanted)]
         if not offering:
             return NoChoice(f"no group offers {wanted.model}", False, False)
-        able = [e for e in offering if self.may_send(e.view.group, e.view.epoch, now)]
-        able = [e for e in able if target_id(e.view.group, e.view.epoch) not in exclude]
-        able = self._not_ejected(able, now)
-        if not able:
+        usable = [e for e in offering if self.may_send(e.view.group, e.view.epoch, now)]
+        usable = [e for e in usable if target_id(e.view.group, e.view.epoch) not in exclude]
+        usable = self._not_ejected(usable, now)
+        if not usable:
             return NoChoice(f"none of {len(offering)} groups is whole", False, True)
-        roomy = [e for e in able if self._load(e, now) < FULL]
-        if not roomy:
-            return NoChoice(f"all {len(able)} whole groups are full", True, True)
-        return self._pick(roomy, wanted)
+        not_full = [e for e in usable if self._load(e, now) < FULL_LOAD]
+        if not not_full:
+            return NoChoice(f"all {len(usable)} whole groups are full", True, True)
+        return self._pick(not_full, wanted)
 
     def started(self, group: str, now: float) -> None:
-        """Count a request sent to a group."""
+        """Record a request sent to a group."""
         self.in_flight_by_group[group] = self.in_flight_by_group.get(group, 0) + 1
         starts = self._starts.setdefault(group, deque())
         starts.append(now)
@@ -176,71 +179,74 @@
             starts.popleft()
 
     def ended(self, group: str) -> None:
-        """Count the end of a request at a group."""
-        left = self.in_flight_by_group.get(group, 0) - 1
-        if left > 0:
-            self.in_flight_by_group[group] = left
+        """Record the end of a request at a group."""
+        remaining = self.in_flight_by_group.get(group, 0) - 1
+        if remaining > 0:
+            self.in_flight_by_group[group] = remaining
         else:
             self.in_flight_by_group.pop(group, None)
 
     def eject(self, group: str, now: float) -> bool:
-        """Keep a straggling group from new requests for a while; return whether it was done."""
-        held = self.by_group.get(group)
-        if held is None:
+        """Temporarily exclude a failing group from new requests; return whether it was ejected."""
+        known = self.by_group.get(group)
+        if known is None:
             return False
-        peers = [g for g, e in self.by_group.items() if e.view.spec.model == held.view.spec.model]
-        out = sum(1 for g in peers if self._ejected_until.get(g, 0.0) > now and g != group)
-        if (out + 1) > EJECT_LIMIT * len(peers):
+        peers = [g for g, e in self.by_group.items() if e.view.spec.model == known.view.spec.model]
+        ejected = sum(1 for g in peers if self._ejected_until.get(g, 0.0) > now and g != group)
+        if (ejected + 1) > EJECT_LIMIT * len(peers):
             return False
         self._ejected_until[group] = now + EJECT_SECONDS
         return True
 
-    def _not_ejected(self, able: list[Evidence], now: float) -> list[Evidence]:
-        kept = [e for e in able if self._ejected_until.get(e.view.group, 0.0) <= now]
-        return kept or able
+    def _not_ejected(self, usable: list[Evidence], now: float) -> list[Evidence]:
+        not_ejected = [e for e in usable if self._ejected_until.get(e.view.group, 0.0) <= now]
+        return not_ejected or usable
 
     def _load(self, evidence: Evidence, now: float) -> float:
         view = evidence.view
         reported = view.running + view.waiting
-        since = evidence.proven_at - REPORT_LAG
-        fresh = sum(1 for t in self._starts.get(view.group, ()) if t >= since)
+        reported_until = evidence.proven_at - REPORT_LAG
+        unreported = sum(1 for t in self._starts.get(view.group, ()) if t >= reported_until)
         own = self.in_flight_by_group.get(view.group, 0)
-        load = max(own, reported + min(fresh, own)) / view.capacity
-        return load if evidence.data_centre == self.data_centre else load + FAR_PENALTY
+        load = max(own, reported + min(unreported, own)) / view.capacity
+        return load if evidence.data_centre == self.data_centre else load + REMOTE_PENALTY
 
-    def _pick(self, roomy: list[Evidence], wanted: Wanted) -> Choice:
-        score_by_group = {e.view.group: self._score(e) for e in roomy}
+    def _pick(self, not_full: list[Evidence], wanted: Wanted) -> Choice:
+        score_by_group = {e.view.group: self._score(e) for e in not_full}
         least = min(score_by_group.values())
         if wanted.prefix:
-            preferred = self._preferred(roomy, score_by_group, least, wanted)
+            preferred = self._preferred(not_full, score_by_group, least, wanted)
             if preferred is not None:
                 return _choice(preferred, "prefix affinity")
-        tied = [e for e in roomy if score_by_group[e.view.group] <= least + 1e-9]
-        best = self._rng.choice(tied)
-        return _choice(best, f"least loaded of {len(roomy)}, score {least:.2f}")
+        least_loaded = [e for e in not_full if score_by_group[e.view.group] <= least + 1e-9]
+        best = self._rng.choice(least_loaded)
+        return _choice(best, f"least loaded of {len(not_full)}, score {least:.2f}")
 
     def _score(self, evidence: Evidence) -> float:
-        """Return what groups are compared by: own requests, and others' by their weight."""
+        """Return the load for comparing groups: own requests plus weighted ones of other hosts."""
         view = evidence.view
         own = self.in_flight_by_group.get(view.group, 0)
         others = max(0, view.running + view.waiting - own)
-        score = (own + OTHERS_WEIGHT * others) / view.capacity
-        return score if evidence.data_centre == self.data_centre else score + FAR_PENALTY
+        score = (own + PEER_REQUEST_WEIGHT * others) / view.capacity
+        return score if evidence.data_centre == self.data_centre else score + REMOTE_PENALTY
 
     def _preferred(
         self,
-        roomy: list[Evidence],
+        not_full: list[Evidence],
         score_by_group: dict[str, float],
         least: float,
         wanted: Wanted,
     ) -> Evidence | None:
-        """Return a group that likely has the prefix cached, if it costs at most one place."""
-        near = [e for e in roomy if e.data_centre == self.data_centre] or roomy
-        by_group = {e.view.group: e for e in near}
+        """Return a group that likely has the prefix cached.
+
+        Its load may exceed the least loaded group's by one request at most.
+        """
+        local = [e for e in not_full if e.data_centre == self.data_centre] or not_full
+        by_group = {e.view.group: e for e in local}
         for group in rendezvous(wanted.prefix, by_group, 2):
-            place = 1.0 / by_group[group].view.capacity
+            one_request = 1.0 / by_group[group].view.capacity
             score = score_by_group[group]
-            if score <= least + place and score + place <= 1.0:
+            if score <= least + one_request and score + one_request <= 1.0:
                 return by_group[group]
         return None
 
--- a/src/oleanderhill/routing/target_limits.py
+++ b/src/oleanderhill/routing/target_limits.py
@@ -1,13 +1,14 @@
-"""Rate limits that targets name for all entry hosts together, and this host's share of each.
+"""Rate limits that targets state for all entry hosts together, and this host's share of each.
 
-A target in need names the requests a second that it takes from everybody. Nobody asks before a
-request is sent, so the limit is split beforehand: a few entry hosts, the same in every host's view,
-share it equally, and the others send elsewhere. Each sends its requests a whole period apart, so
-that in a window all of them together exceed the limit by one request each at most.
+An overloaded target states how many requests a second it accepts from all entry hosts together.
+Entry hosts do not coordinate each request, so the limit is split in advance: a few entry hosts,
+which every host computes alike, share it equally, and the others send elsewhere. Each sharer spaces
+its requests by a full interval, so in any window all sharers together exceed the limit by at most
+one request each.
 
-What a target says is a statement with a version. Entry hosts tell each other theirs; the highest
-version holds. A statement that loosens a limit, or ends it, is believed only from an answer to a
-request that was sent after the last naming: of two answers the older may arrive later.
+A stated limit is a statement with a version. Entry hosts exchange their statements, and the highest
+version wins. A statement that raises or removes a limit is accepted only from an answer to a
+request that was sent after the limit was last stated, because answers may arrive out of order.
 """
 
 from __future__ import annotations
@@ -22,43 +23,44 @@
 from ..ownership import rendezvous
 
 LEAST_RATE = 0.25
-"""Requests a second at which a target is asked that takes fewer or none: one to which nothing is
-sent can't say that its need is over."""
+"""Lowest rate, in requests a second, at which a limited target is sent requests, even if it states
+less or 0. A target that receives nothing cannot report that its limit has ended."""
 
-SHARERS = 3
-"""Entry hosts that share a limit near zero. Each may send one request more than its share in a
-window, so this and :data:`SHARERS_BY_RATE` bound the excess."""
+BASE_SHARERS = 3
+"""Entry hosts that share a limit near zero. Each may exceed its share by one request in a window,
+so this and :data:`SHARERS_BY_RATE` bound the excess."""
 
 SHARERS_BY_RATE = 2.0
-"""Further entry hosts that share a limit, for each request a second."""
+"""Additional entry hosts that share a limit, for each request a second."""
 
 TAKE_OVER_WAIT = 4.0
-"""Seconds that a host waits that takes another's share: the one before it may have just sent."""
+"""Seconds that a new sharer waits before it sends: the host that it replaces may have just sent."""
 
 REPEATED_FOR = 0.5
-"""Seconds for which a new statement is told with each report; datagrams may be lost."""
+"""Seconds for which a new statement is included in every update to peers; datagrams may be lost."""
 
 AGAIN_EVERY = 0.5
-"""Seconds between two tellings of all statements, to those that started or were cut off."""
+"""Seconds between two updates with all statements, for peers that started or were partitioned."""
 
 TIGHTENED = 0.5
-"""Part of the last rate below which a new one is taken like the first: each host waits its turn.
-Done at every change, a rate that shrinks little by little would keep all waiting."""
+"""Fraction of the previous rate below which a new rate is handled like a first one: the sharers
+start one after the other. Doing so at every change would block all of them while a rate shrinks in
+small steps."""
 
 UNREADABLE_RATE = 0.5
-"""Requests a second for a limit that can't be read: some need was named."""
+"""Requests a second assumed for a limit that cannot be parsed: the target did state a limit."""
 
 STATEMENTS_KEPT = 2_000
 
-MOST_VERSIONS = 2**40
-"""Highest version that is believed; no target changes its limit so often."""
+MAX_VERSION = 2**40
+"""Highest version that is accepted; no target changes its limit so often."""
 
-PART_STATEMENTS = 18
-"""Statements in one datagram: with names of 32 letters it fits into one frame."""
+STATEMENTS_PER_DATAGRAM = 18
+"""Statements in one datagram. With names of 32 characters they fit into one frame."""
 
 
 class Asked(StrEnum):
-    """What an answer was the answer to."""
+    """The kind of call that an answer belongs to."""
 
     REQUEST = "request"
     CONTROL = "control"
@@ -66,10 +68,11 @@
 
 
 class Statement(NamedTuple):
-    """What a target says of its limit.
+    """The limit that a target stated.
 
     :param rate: requests a second from all entry hosts, ``None`` for no limit
-    :param asked: what named it; one named in an answer to a request ends by such an answer only
+    :param asked: kind of call whose answer stated the limit; a limit stated in an answer to a
+        request is removed only by such an answer
     """
 
     version: int
@@ -78,14 +81,14 @@
 
 
 class LimitNews(msgspec.Struct, tag="limits"):
-    """Statements that one entry host tells others, by the target's life."""
+    """Statements sent from one entry host to its peers, by the target's incarnation."""
 
     sender: str
     statements: dict[str, Statement]
 
 
 class LimitChange(NamedTuple):
-    """A statement that took the place of another."""
+    """A change of the limit of one incarnation; ``before`` is the previous rate."""
 
     life: str
     before: float | None
@@ -93,289 +96,322 @@
     version: int
 
 
-class Taken(NamedTuple):
-    """What a request takes of one limit.
+class Charge(NamedTuple):
+    """What one request consumes of one limit.
 
-    :param version: of the statement in force
-    :param free_before: when the host's next request could have been sent without it
+    :param version: version of the statement in force
+    :param previous_send_at: when this host could have sent its next request without this one
     """
 
     version: int
-    free_before: float
+    previous_send_at: float
 
 
 class Permit(NamedTuple):
-    """Leave to send one request to a group of lives, the first of which takes it."""
+    """Permission to send one request to a group of incarnations, the first of which receives it."""
 
     lives: Sequence[str]
-    taken_by_life: Mapping[str, Taken]
+    charge_by_incarnation: Mapping[str, Charge]
 
 
-class _Held:
-    """What is known of one target, and this host's share of it."""
+class _Limit:
+    """The latest statement of one target and this host's share of its limit."""
 
     def __init__(self, statement: Statement, now: float) -> None:
         self.statement = statement
         self.changed_at = now
-        self.named_at = now
-        self.free_at = now
+        self.stated_at = now
+        self.next_send_at = now
         self.sharers: tuple[str, ...] = ()
 
 
 class TargetLimits:
-    """The limits that targets named, and when this host may send to them.
+    """The limits that targets stated, and when this host may send to these targets.
 
     :param me: name of this entry host
     """
 
     def __init__(self, me: str = "") -> None:
         self._me = me
-        self._held_by_life: dict[str, _Held] = {}
+        self._limit_by_incarnation: dict[str, _Limit] = {}
         self._hosts: Collection[str] = (me,)
-        self._in_touch = True
-        self._told_at = float("-inf")
+        self._has_peers = True
+        self._full_update_at = float("-inf")
         self.sent = 0
         self.held_back = 0
 
     @property
     def known(self) -> bool:
-        """Tell whether any target has named a limit."""
-        return bool(self._held_by_life)
+        """Return whether a statement of any target is stored."""
+        return bool(self._limit_by_incarnation)
 
     @property
     def rate_by_life(self) -> Mapping[str, float]:
-        """Return the limits in force, in requests a second, by the life that named them."""
-        rates = {life: held.statement.rate for life, held in self._held_by_life.items()}
-        return {life: rate for life, rate in rates.items() if rate is not None}
+        """Return the limits in force, in requests a second, by incarnation."""
+        rates = {
+            incarnation: limit.statement.rate
+            for incarnation, limit in self._limit_by_incarnation.items()
+        }
+        return {incarnation: rate for incarnation, rate in rates.items() if rate is not None}
 
     @property
     def share(self) -> float:
         """Return the requests a second that this host may send to limited targets."""
-        lives = self.rate_by_life
+        incarnations = self.rate_by_life
         return sum(
-            1 / _period(h) for h in map(self._held_by_life.__getitem__, lives) if self._shares(h)
+            1 / _send_interval(limit)
+            for limit in map(self._limit_by_incarnation.__getitem__, incarnations)
+            if self._is_sharer(limit)
         )
 
-    def sharers(self, life: str) -> Sequence[str]:
-        """Return the entry hosts that share a life's limit, in the order of their first turns."""
-        held = self._held_by_life.get(life)
-        return () if held is None else held.sharers
+    def sharers(self, incarnation: str) -> Sequence[str]:
+        """Return the entry hosts that share an incarnation's limit, in their starting order."""
+        limit = self._limit_by_incarnation.get(incarnation)
+        return () if limit is None else limit.sharers
 
-    # What targets and peers say
+    # Statements of targets and peers
 
     def answered(
-        self, life: str, rate: float | None, asked: Asked, asked_at: float, now: float
+        self, incarnation: str, rate: float | None, asked: Asked, asked_at: float, now: float
     ) -> LimitChange | None:
-        """Take what an answer says of its target's limit.
+        """Record the limit that an answer of a target states.
 
-        :param rate: named in it, ``None`` where none is
-        :param asked_at: when the request that it answers was sent
-        :return: the change that it makes
+        :param rate: the stated rate, ``None`` if the answer states none
+        :param asked: the kind of call that was answered
+        :param asked_at: when that call was sent
+        :return: the resulting change, ``None`` if there is none
         """
-        held = self._held_by_life.get(life)
-        known = None if held is None else held.statement.rate
-        if held is None and rate is None:
+        limit = self._limit_by_incarnation.get(incarnation)
+        known = None if limit is None else limit.statement.rate
+        if limit is None and rate is None:
             return None
-        if held is not None and rate == known:
+        if limit is not None and rate == known:
             if rate is not None:
-                held.named_at = now
-                held.statement = held.statement._replace(asked=_stronger(held.statement, asked))
+                limit.stated_at = now
+                limit.statement = limit.statement._replace(
+                    asked=_stronger_kind(limit.statement, asked)
+                )
             return None
-        if held is not None and _loosens(rate, known):
-            conclusive = asked == Asked.REQUEST or held.statement.asked == Asked.CONTROL
-            if not conclusive or asked_at < held.named_at:
+        if limit is not None and _is_looser(rate, known):
+            conclusive = asked == Asked.REQUEST or limit.statement.asked == Asked.CONTROL
+            if not conclusive or asked_at < limit.stated_at:
                 return None
-        version = 1 if held is None else held.statement.version + 1
-        return self._state(life, Statement(version, rate, asked), now)
+        version = 1 if limit is None else limit.statement.version + 1
+        return self._replace_statement(incarnation, Statement(version, rate, asked), now)
 
     def hear(self, news: LimitNews, listed: Callable[[str], bool], now: float) -> list[LimitChange]:
-        """Take what another entry host tells; return what it changed.
+        """Apply the statements of another entry host; return the changes.
 
-        :param listed: tells whether a life is known; others may still tell of one that is over
+        :param listed: returns whether an incarnation is known; peers may still report one that has
+            ended
         """
         changes = []
-        for life, statement in news.statements.items():
-            held = self._held_by_life.get(life)
-            if not _is_sound(statement) or not _is_newer(statement, held) or not listed(life):
+        for incarnation, statement in news.statements.items():
+            limit = self._limit_by_incarnation.get(incarnation)
+            if (
+                not _is_valid(statement)
+                or not _is_newer(statement, limit)
+                or not listed(incarnation)
+            ):
                 continue
-            changes.append(self._state(life, statement, now))
+            changes.append(self._replace_statement(incarnation, statement, now))
         return changes
 
     def news(self, now: float) -> list[LimitNews]:
-        """Return what to tell the other entry hosts now."""
-        again = now - self._told_at >= AGAIN_EVERY
-        if again:
-            self._told_at = now
-        told = [
-            (life, held.statement)
-            for life, held in self._held_by_life.items()
-            if again or now - held.changed_at < REPEATED_FOR
+        """Return the updates that are due for the other entry hosts."""
+        include_all = now - self._full_update_at >= AGAIN_EVERY
+        if include_all:
+            self._full_update_at = now
+        due = [
+            (incarnation, limit.statement)
+            for incarnation, limit in self._limit_by_incarnation.items()
+            if include_all or now - limit.changed_at < REPEATED_FOR
         ]
         return [
-            LimitNews(self._me, dict(told[first : first + PART_STATEMENTS]))
-            for first in range(0, len(told), PART_STATEMENTS)
+            LimitNews(self._me, dict(due[first : first + STATEMENTS_PER_DATAGRAM]))
+            for first in range(0, len(due), STATEMENTS_PER_DATAGRAM)
         ]
 
-    def forget(self, life: str) -> None:
-        """Drop what a life said that is over."""
-        self._held_by_life.pop(life, None)
+    def forget(self, incarnation: str) -> None:
+        """Drop the statement of an incarnation that has ended."""
+        self._limit_by_incarnation.pop(incarnation, None)
 
-    def reach(self, hosts: Collection[str], in_touch: bool, now: float) -> None:
-        """Take note of who shares the limits.
+    def reach(self, hosts: Collection[str], has_peers: bool, now: float) -> None:
+        """Set the entry hosts that share the limits.
 
-        :param hosts: the entry hosts that are there, by name
-        :param in_touch: this host hears some of them; one that doesn't takes no share, as it can't
-            know who sends in its place
+        :param hosts: names of the entry hosts that are present
+        :param has_peers: whether this host receives updates of any of them; if not, it takes no
+            share, as it cannot know which hosts send in its place
         """
-        self._in_touch = in_touch
+        self._has_peers = has_peers
         if hosts is self._hosts:
             return
         self._hosts = hosts
-        # A host that has just come is told at once.
-        self._told_at = float("-inf")
-        for life, held in self._held_by_life.items():
-            before = held.sharers
-            held.sharers = self._sharers(life, held.statement.rate)
-            if self._me in held.sharers and self._me not in before:
-                held.free_at = max(held.free_at, now + TAKE_OVER_WAIT)
-
-    # What may be sent
-
-    def may_send(self, lives: Sequence[str], now: float) -> bool:
-        """Tell whether a request may go now to a group of lives, the first of which takes it."""
-        binding = self._binding(lives).values()
-        return all(self._shares(held) and now >= held.free_at for held in binding)
-
-    def take(self, lives: Sequence[str], now: float) -> Permit | None:
-        """Take leave to send one request, ``None`` where there is none now."""
-        if not self.may_send(lives, now):
+        # A host that has just joined gets all statements immediately.
+        self._full_update_at = float("-inf")
+        for incarnation, limit in self._limit_by_incarnation.items():
+            old_sharers = limit.sharers
+            limit.sharers = self._sharers(incarnation, limit.statement.rate)
+            if self._me in limit.sharers and self._me not in old_sharers:
+                limit.next_send_at = max(limit.next_send_at, now + TAKE_OVER_WAIT)
+
+    # Sending
+
+    def may_send(self, incarnations: Sequence[str], now: float) -> bool:
+        """Return whether a request may go now to a group, whose first incarnation receives it."""
+        limits = self._binding_limits(incarnations).values()
+        return all(self._is_sharer(limit) and now >= limit.next_send_at for limit in limits)
+
+    def take(self, incarnations: Sequence[str], now: float) -> Permit | None:
+        """Reserve one request to a group; return ``None`` if none may be sent now."""
+        if not self.may_send(incarnations, now):
             self.held_back += 1
             return None
-        taken = {}
-        for life, held in self._binding(lives).items():
-            taken[life] = Taken(held.statement.version, held.free_at)
-            held.free_at = now + _period(held)
+        charges = {}
+        for incarnation, limit in self._binding_limits(incarnations).items():
+            charges[incarnation] = Charge(limit.statement.version, limit.next_send_at)
+            limit.next_send_at = now + _send_interval(limit)
             self.sent += 1
-        return Permit(lives, taken)
+        return Permit(incarnations, charges)
 
     def confirm(self, permit: Permit, now: float) -> bool:
-        """Tell whether the first byte may leave now; what was said since the choice counts."""
-        version_by_life = {k: h.statement.version for k, h in self._binding(permit.lives).items()}
-        if version_by_life == {k: t.version for k, t in permit.taken_by_life.items()}:
+        """Return whether the first byte may be sent now.
+
+        Checks the limits again, as statements may have changed since the target was chosen.
+        """
+        version_by_incarnation = {
+            k: limit.statement.version for k, limit in self._binding_limits(permit.lives).items()
+        }
+        if version_by_incarnation == {
+            k: t.version for k, t in permit.charge_by_incarnation.items()
+        }:
             return True
         self.give_back(permit)
         return self.take(permit.lives, now) is not None
 
     def give_back(self, permit: Permit) -> None:
-        """Return a permit with which nothing was sent."""
-        for life, taken in permit.taken_by_life.items():
-            held = self._held_by_life.get(life)
-            if held is not None and taken.version == held.statement.version:
-                held.free_at = taken.free_before
+        """Return a permit that was not used."""
+        for incarnation, charge in permit.charge_by_incarnation.items():
+            limit = self._limit_by_incarnation.get(incarnation)
+            if limit is not None and charge.version == limit.statement.version:
+                limit.next_send_at = charge.previous_send_at
                 self.sent -= 1
 
-    def spend(self, life: str, now: float) -> None:
-        """Count what goes to a target without leave, as an order does."""
-        held = self._held_by_life.get(life)
-        if held is not None and held.statement.rate is not None:
-            held.free_at = max(held.free_at, now) + _period(held)
+    def spend(self, incarnation: str, now: float) -> None:
+        """Count a call that needs no permit, such as an order, against the target's limit."""
+        limit = self._limit_by_incarnation.get(incarnation)
+        if limit is not None and limit.statement.rate is not None:
+            limit.next_send_at = max(limit.next_send_at, now) + _send_interval(limit)
 
-    def is_limited(self, lives: Sequence[str]) -> bool:
-        """Tell whether a group of lives takes a limited number of requests."""
-        return bool(self._binding(lives))
+    def is_limited(self, incarnations: Sequence[str]) -> bool:
+        """Return whether any limit applies to a group of incarnations."""
+        return bool(self._binding_limits(incarnations))
 
-    def rate(self, lives: Sequence[str]) -> float | None:
-        """Return the requests a second that a group of lives takes, ``None`` for no limit."""
-        return min(map(_asked_at_least, self._binding(lives).values()), default=None)
+    def rate(self, incarnations: Sequence[str]) -> float | None:
+        """Return the requests a second that a group accepts, ``None`` for no limit."""
+        return min(map(_effective_rate, self._binding_limits(incarnations).values()), default=None)
 
-    def to_ask(self, lives: Sequence[str]) -> list[str]:
-        """Return members of a group that get no requests, and whose limit this host asks after."""
-        others = lives[1:]
-        bound = self._binding(lives).items()
-        return [life for life, h in bound if life in others and h.sharers[:1] == (self._me,)]
+    def to_ask(self, incarnations: Sequence[str]) -> list[str]:
+        """Return the members of a group that this host has to probe for the end of their limit.
 
-    def _binding(self, lives: Sequence[str]) -> Mapping[str, _Held]:
-        """Return the limits that bind a group of lives, by life.
+        These members receive no requests themselves. The first sharer of a limit probes.
+        """
+        others = incarnations[1:]
+        bound = self._binding_limits(incarnations).items()
+        return [
+            incarnation
+            for incarnation, limit in bound
+            if incarnation in others and limit.sharers[:1] == (self._me,)
+        ]
 
-        A member that gets no requests itself binds the group by what it says in answers to orders
-        and probes: every request passes through it, and probes will tell the end.
+    def _binding_limits(self, incarnations: Sequence[str]) -> Mapping[str, _Limit]:
+        """Return the limits that apply to a group, by incarnation.
+
+        A member that receives no requests itself limits the group by what it states in answers to
+        orders and probes: every request passes through it, and later probes report the end of the
+        limit.
         """
-        if not self._held_by_life:
+        if not self._limit_by_incarnation:
             return {}
         found = {}
-        for rank, life in enumerate(lives):
-            held = self._held_by_life.get(life)
-            if held is None or held.statement.rate is None:
+        for rank, incarnation in enumerate(incarnations):
+            limit = self._limit_by_incarnation.get(incarnation)
+            if limit is None or limit.statement.rate is None:
                 continue
-            if rank == 0 or held.statement.asked == Asked.CONTROL:
-                found[life] = held
+            if rank == 0 or limit.statement.asked == Asked.CONTROL:
+                found[incarnation] = limit
         return found
 
-    def _shares(self, held: _Held) -> bool:
-        return self._in_touch and self._me in held.sharers
+    def _is_sharer(self, limit: _Limit) -> bool:
+        return self._has_peers and self._me in limit.sharers
 
-    def _sharers(self, life: str, rate: float | None) -> tuple[str, ...]:
+    def _sharers(self, incarnation: str, rate: float | None) -> tuple[str, ...]:
         if rate is None:
             return ()
-        # A limit that no fleet can reach needs no more sharers than there are hosts.
-        count = SHARERS + math.floor(SHARERS_BY_RATE * min(rate, len(self._hosts)))
-        return rendezvous(f"limit/{life}", self._hosts, count)
-
-    def _state(self, life: str, statement: Statement, now: float) -> LimitChange:
-        held = self._held_by_life.pop(life, None) or _Held(Statement(0, None), now)
-        before, period = held.statement.rate, _period(held)
-        held.statement, held.changed_at, held.named_at = statement, now, now
-        held.sharers = self._sharers(life, statement.rate)
-        self._held_by_life[life] = held
-        self._bound()
-        if statement.rate is not None and self._me in held.sharers:
-            wait = max(0.0, held.free_at - now)
-            if before is not None:
-                wait *= _period(held) / period
-            if before is None or statement.rate < before * TIGHTENED:
-                # One after the other: what was sent before the news counts for the new limit too.
-                turn = held.sharers.index(self._me) + 1
-                wait = max(wait, turn / _asked_at_least(held))
-            held.free_at = now + wait
-        return LimitChange(life, before, statement.rate, statement.version)
-
-    def _bound(self) -> None:
-        """Drop the statement that has stood for longest, one that ended before one that holds."""
-        if len(self._held_by_life) <= STATEMENTS_KEPT:
+        # At a rate that exceeds the number of hosts, all of them share the limit.
+        count = BASE_SHARERS + math.floor(SHARERS_BY_RATE * min(rate, len(self._hosts)))
+        return rendezvous(f"limit/{incarnation}", self._hosts, count)
+
+    def _replace_statement(self, incarnation: str, statement: Statement, now: float) -> LimitChange:
+        limit = self._limit_by_incarnation.pop(incarnation, None) or _Limit(Statement(0, None), now)
+        old_rate, interval = limit.statement.rate, _send_interval(limit)
+        limit.statement, limit.changed_at, limit.stated_at = statement, now, now
+        limit.sharers = self._sharers(incarnation, statement.rate)
+        self._limit_by_incarnation[incarnation] = limit
+        self._evict()
+        if statement.rate is not None and self._me in limit.sharers:
+            wait = max(0.0, limit.next_send_at - now)
+            if old_rate is not None:
+                wait *= _send_interval(limit) / interval
+            if old_rate is None or statement.rate < old_rate * TIGHTENED:
+                # The sharers start one after the other: requests that were sent before the
+                # statement arrived count against the new limit too.
+                position = limit.sharers.index(self._me) + 1
+                wait = max(wait, position / _effective_rate(limit))
+            limit.next_send_at = now + wait
+        return LimitChange(incarnation, old_rate, statement.rate, statement.version)
+
+    def _evict(self) -> None:
+        """Drop the least recently changed statement if there are too many, ended limits first."""
+        if len(self._limit_by_incarnation) <= STATEMENTS_KEPT:
             return
-        ended = (k for k, h in self._held_by_life.items() if h.statement.rate is None)
-        del self._held_by_life[next(ended, next(iter(self._held_by_life)))]
+        ended = (
+            k for k, limit in self._limit_by_incarnation.items() if limit.statement.rate is None
+        )
+        del self._limit_by_incarnation[next(ended, next(iter(self._limit_by_incarnation)))]
 
 
-def _asked_at_least(held: _Held) -> float:
-    return max(LEAST_RATE, held.statement.rate or 0.0)
+def _effective_rate(limit: _Limit) -> float:
+    return max(LEAST_RATE, limit.statement.rate or 0.0)
 
 
-def _period(held: _Held) -> float:
-    """Return the seconds between two requests of each host that shares a limit."""
-    return max(1, len(held.sharers)) / _asked_at_least(held)
+def _send_interval(limit: _Limit) -> float:
+    """Return the seconds between two requests of one sharer of a limit."""
+    return max(1, len(limit.sharers)) / _effective_rate(limit)
 
 
-def _loosens(rate: float | None, known: float | None) -> bool:
-    """Tell whether a rate allows more than the one known."""
+def _is_looser(rate: float | None, known: float | None) -> bool:
+    """Return whether a rate allows more than the known one."""
     return known is not None and (rate is None or rate > known)
 
 
-def _stronger(statement: Statement, asked: Asked) -> Asked:
+def _stronger_kind(statement: Statement, asked: Asked) -> Asked:
     return Asked.REQUEST if Asked.REQUEST in (statement.asked, asked) else Asked.CONTROL
 
 
-def _is_sound(statement: Statement) -> bool:
-    """Tell whether a statement can come from an entry host; anybody may send datagrams."""
-    rate_is_sound = statement.rate is None or 0.0 <= statement.rate < math.inf
-    return rate_is_sound and 0 < statement.version <= MOST_VERSIONS
+def _is_valid(statement: Statement) -> bool:
+    """Return whether a statement is valid. Anybody may send datagrams to this host."""
+    rate_is_valid = statement.rate is None or 0.0 <= statement.rate < math.inf
+    return rate_is_valid and 0 < statement.version <= MAX_VERSION
 
 
-def _is_newer(statement: Statement, held: _Held | None) -> bool:
-    """Tell whether a peer's statement takes the place of the one held; of two with one version
-    the tighter does."""
-    if held is None:
+def _is_newer(statement: Statement, limit: _Limit | None) -> bool:
+    """Return whether a peer's statement replaces the stored one.
+
+    Of two statements with the same version the lower rate wins.
+    """
+    if limit is None:
         return True
-    if statement.version != held.statement.version:
-        return statement.version > held.statement.version
-    return _loosens(held.statement.rate, statement.rate)
+    if statement.version != limit.statement.version:
+        return statement.version > limit.statement.version
+    return _is_looser(limit.statement.rate, statement.rate)
--- a/src/oleanderhill/routing/waiting.py
+++ b/src/oleanderhill/routing/waiting.py
@@ -1,7 +1,7 @@
-"""A bounded queue of admitted requests that wait for room at a group: a pure structure.
+"""A bounded queue of admitted requests that wait for capacity at a group. Does no I/O.
 
 Higher priority goes first. Within a priority the account with the fewest requests in flight goes
-first, so that one greedy account does not keep many small ones waiting.
+first, so that an account with many requests does not delay accounts with few.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 MAX_WAITING = 512
-SERVICE_SMOOTHING = 0.05
+SMOOTHING = 0.05
 
 
 class Waiter(NamedTuple):
@@ -23,45 +23,47 @@
 
 
 class WaitingQueue:
-    """Waiters for one model."""
+    """The waiting requests of one model."""
 
     def __init__(self, limit: int = MAX_WAITING) -> None:
         self._limit = limit
         self._by_request: dict[str, Waiter] = {}
         self._in_flight: dict[str, int] = {}
-        self._gap = 0.05
-        self.service = 0.0
-        self._last_release: float | None = None
+        self._mean_interval = 0.05
+        self.mean_run_time = 0.0
+        self._last_end_at: float | None = None
 
     def __len__(self) -> int:
         return len(self._by_request)
 
     def estimate(self) -> float:
-        """Return the expected wait of a newcomer, in seconds."""
-        return len(self._by_request) * self._gap
+        """Return the expected wait of a new request, in seconds."""
+        return len(self._by_request) * self._mean_interval
 
     def join(self, waiter: Waiter) -> float | None:
-        """Queue a waiter; return ``None``, or seconds to come back after if it can't be served.
+        """Queue a waiter; return ``None``, or a retry delay in seconds if it would be too late.
 
-        Refusing early is kinder than a wait that ends at the deadline: the caller learns at once,
-        and no group works on an answer that comes too late.
+        Early rejection is better than a wait that ends at the deadline: the caller learns
+        immediately, and no group computes an answer that arrives too late.
         """
         wait = self.estimate()
-        if len(self._by_request) >= self._limit or self.hopeless(waiter, waiter.arrived + wait):
+        if len(self._by_request) >= self._limit or self.would_miss_deadline(
+            waiter, waiter.arrived + wait
+        ):
             return max(1.0, wait)
         self._by_request[waiter.request_id] = waiter
         return None
 
-    def hopeless(self, waiter: Waiter, start: float) -> bool:
-        """Tell whether a waiter that starts at ``start`` would likely miss its deadline."""
-        return start + self.service > waiter.deadline
+    def would_miss_deadline(self, waiter: Waiter, start: float) -> bool:
+        """Return whether a waiter that starts at ``start`` would likely miss its deadline."""
+        return start + self.mean_run_time > waiter.deadline
 
     def leave(self, request_id: str) -> None:
-        """Take a waiter out: it was served, gave up or its caller left."""
+        """Remove a waiter that was served or abandoned, or whose caller disconnected."""
         self._by_request.pop(request_id, None)
 
     def next(self) -> Waiter | None:
-        """Return the waiter to serve next, leaving it in the queue."""
+        """Return the waiter to serve next without removing it."""
         if not self._by_request:
             return None
         return min(
@@ -70,18 +72,18 @@
         )
 
     def started(self, account: str) -> None:
-        """Count a request of an account in flight."""
+        """Record a request of an account in flight."""
         self._in_flight[account] = self._in_flight.get(account, 0) + 1
 
     def ended(self, account: str, now: float, seconds: float) -> None:
-        """Count the end of a request in flight; learn how long one takes and how often one ends."""
-        self.service += SERVICE_SMOOTHING * (seconds - self.service)
-        left = self._in_flight.get(account, 0) - 1
-        if left > 0:
-            self._in_flight[account] = left
+        """Record the end of a request; update the averages of run time and time between ends."""
+        self.mean_run_time += SMOOTHING * (seconds - self.mean_run_time)
+        remaining = self._in_flight.get(account, 0) - 1
+        if remaining > 0:
+            self._in_flight[account] = remaining
         else:
             self._in_flight.pop(account, None)
-        if self._last_release is not None:
-            gap = min(5.0, now - self._last_release)
-            self._gap += SERVICE_SMOOTHING * (gap - self._gap)
-        self._last_release = now
+        if self._last_end_at is not None:
+            interval = min(5.0, now - self._last_end_at)
+            self._mean_interval += SMOOTHING * (interval - self._mean_interval)
+        self._last_end_at = now
--- a/src/oleanderhill/routing/wholeness.py
+++ b/src/oleanderhill/routing/wholeness.py
@@ -1,8 +1,8 @@
-"""Wholeness by evidence: is every member of a group there, in the boot that joined it?
+"""Determines whether a group is complete: every member is present, in the boot that joined it.
 
-Answering a probe is not enough. A host that died and came back answers with an empty engine or
-with its old role, so a group is whole only when every member reports the group, its epoch, its
-rank and the boot recorded in the ledger, in a report younger than :data:`EVIDENCE_MAX_AGE`.
+Answering a probe is not enough. A host that failed and returned answers with an empty engine or
+with its old role. A group is complete only if every member reports the group, its epoch, its rank
+and the boot recorded in the ledger, in a report younger than :data:`EVIDENCE_MAX_AGE`.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from ..types import EngineState, GroupPhase, GroupRecord, GroupView, Member, SeenReport
 
 EVIDENCE_MAX_AGE = 2.0
-"""Seconds for which a report counts. A group stops at most this long after a silent loss."""
+"""Seconds for which a report is valid. A group stops at most this long after a silent loss."""
 
 
 class MemberFault(StrEnum):
-    """Why one member does not count."""
+    """Why a member of a group is not healthy."""
 
     SILENT = "silent"
     REBOOTED = "rebooted"
@@ -27,10 +27,10 @@
 
 
 class Verdict(NamedTuple):
-    """Result of judging one group.
+    """Result of evaluating one group.
 
-    :param faults: fault by host, empty when the group is whole
-    :param oldest: sending time of the oldest probe behind the verdict
+    :param faults: fault by host, empty if the group is complete
+    :param oldest: sending time of the oldest probe used
     """
 
     whole: bool
@@ -42,13 +42,13 @@
 def member_fault(
     record: GroupRecord, rank: int, seen: SeenReport | None, now: float, max_age: float
 ) -> MemberFault | None:
-    """Return why the member of this rank does not count, or ``None`` when it does."""
+    """Return the fault of the member of this rank, ``None`` if it is healthy."""
     member = record.members[rank]
     if seen is None or now - seen.sent_at > max_age:
         return MemberFault.SILENT
     report = seen.report
-    # A returned host answers as if nothing had happened, with the old role and no weights.
-    # Only the boot id tells; without this check requests go to a replica that can't answer.
+    # A host that returns after a reboot still reports its old role, but has no weights. Only the
+    # boot id shows it; without this check requests would go to a replica that cannot answer.
     if report.boot_id != member.boot_id:
         return MemberFault.REBOOTED
     if report.group == record.group and report.epoch == record.epoch and report.rank == rank:
@@ -64,7 +64,7 @@
     now: float,
     max_age: float = EVIDENCE_MAX_AGE,
 ) -> Verdict:
-    """Judge one group by the reports of its members.
+    """Evaluate one group by the reports of its members.
 
     :param seen_by_host: the latest report of each host
     :param now: local monotonic time, in seconds
@@ -80,8 +80,8 @@
         if seen is not None:
             oldest = min(oldest, seen.sent_at)
             leaving = leaving or seen.report.leaving
-    # A verdict of "not whole" is news of this moment, however old the report behind it; dated
-    # back, it would lose against the older verdict of "whole".
+    # A verdict of "incomplete" is dated now, however old the reports are. Dated back, it would
+    # lose against the earlier verdict of "complete".
     return Verdict(not faults, faults, now if faults else oldest, leaving)
 
 
@@ -91,9 +91,9 @@
     leaving_hosts: frozenset[str],
     now: float,
 ) -> GroupView:
-    """Return what entry hosts are told about one group.
+    """Return the view of one group that is sent to entry hosts.
 
-    :param leaving_hosts: hosts that the platform's list or a report calls leaving
+    :param leaving_hosts: hosts that are leaving according to the platform's list or a report
     """
     verdict = judge(record, seen_by_host, now)
     leaving = verdict.leaving or any(m.host in leaving_hosts for m in record.members)
@@ -121,5 +121,5 @@
 
 
 def head_of(view: GroupView) -> Member:
-    """Return the member of a view that takes requests."""
+    """Return the member of a view that receives requests."""
     return view.members[0]
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Targets that turn a request away and ask to be left alone for a time."""
+"""Back-offs: targets that reject a request and ask for no requests for some time."""
 
 import asyncio
 import random
@@ -18,14 +18,14 @@
 from .test_users_site import SiteTest
 
 BACKOFF = 3.0
-"""Seconds for which the targets here ask to be left alone."""
+"""Back-off in seconds that the targets of these tests request."""
 
 IN_FLIGHT = 0.5
-"""Seconds after the answer in which requests that had left before may still arrive."""
+"""Seconds after the answer in which requests that were sent earlier may still arrive."""
 
 
-def within_backoff(demand):
-    """Return how many requests came in the time that the first answer asked to be free of them."""
+def requests_during_backoff(demand):
+    """Return how many requests arrived during the back-off that the first answer requested."""
     first = demand.arrivals[0]
     return sum(first + IN_FLIGHT < at < first + BACKOFF for at in demand.arrivals)
 
@@ -49,18 +49,19 @@
         demand.backoff = str(BACKOFF)
         await self.first_told(demand, "/read/x", "POST", model)
         answers = await self.press(12, BACKOFF, "/read/x", "POST", model)
-        self.assertEqual(within_backoff(demand), 0)
+        self.assertEqual(requests_during_backoff(demand), 0)
         self.assertEqual({reply.status for reply, _ in answers}, {200})
         await asyncio.gather(*streams)
 
     async def test_callers_are_refused_at_once_where_all_are_backed_off_from(self):
-        # Not run, and a time to come back that is not before the first target's time is over.
+        # The requests are not run; the answers name a retry delay that does not end before the
+        # first back-off.
         for target in self.site.targets:
             target.demand.backoff = str(BACKOFF)
-        await until_all_told(self)
+        await until_all_rejected(self)
         answers = await self.press(20, BACKOFF - 1.0, "/scan/x")
         for target in self.site.targets:
-            self.assertEqual(within_backoff(target.demand), 0)
+            self.assertEqual(requests_during_backoff(target.demand), 0)
         for reply, took in answers:
             self.assertEqual(reply.status, 503)
             self.assertLess(took, 0.3)
@@ -69,11 +70,11 @@
     async def test_target_is_used_again_when_its_time_is_over(self):
         demand = self.site.targets[0].demand
         demand.backoff = "1.5"
-        told = await self.first_told(demand, "/scan/x")
+        rejected_at = await self.first_told(demand, "/scan/x")
         demand.backoff = ""
         await self.press(12, 3.0, "/scan/x")
-        again = min(at for at in demand.arrivals if at > told)
-        self.assertAlmostEqual(again - told, 1.5, delta=0.4)
+        next_at = min(at for at in demand.arrivals if at > rejected_at)
+        self.assertAlmostEqual(next_at - rejected_at, 1.5, delta=0.4)
 
     async def test_backoff_puts_nobody_in_doubt_and_has_nobody_probed(self):
         heads, model = await self.heads()
@@ -90,20 +91,20 @@
         heads, model = await self.heads()
         heads[0].demand.backoff = str(BACKOFF)
         await self.first_told(heads[0].demand, "/read/x", "POST", model)
-        given = len(heads[0].orders)
+        orders_before = len(heads[0].orders)
         instance = Instance(heads[0].instance, heads[0].born)
         order = Leave(heads[0].group["name"], heads[0].group["epoch"], instance)
         orders = self.entry._orders
         self.assertEqual(await orders.give(order, heads[0].address, 1), OrderEnd.HELD_BACK)
         self.assertFalse(orders.may_ask(instance))
-        self.assertEqual(len(heads[0].orders), given)
+        self.assertEqual(len(heads[0].orders), orders_before)
 
     async def test_request_placed_before_the_news_is_held_back(self):
-        chosen = self.entry._book.choose
+        original_choose = self.entry._book.choose
         first = []
 
         def choose(candidates, tried, *more, **others):
-            found = chosen(candidates, tried, *more, **others)
+            found = original_choose(candidates, tried, *more, **others)
             if not first and found is not None:
                 first.append(found.lives[0])
                 self.entry._book.backoffs.ask(first[0], BACKOFF, time.monotonic())
@@ -112,19 +113,19 @@
         self.entry._book.choose = choose
         reply, _ = await self.reply("/scan/x")
         self.assertEqual(reply.status, 200)
-        shedding = next(t for t in self.site.targets if first[0].startswith(t.instance))
-        self.assertEqual(shedding.demand.arrivals, [])
+        backed_off_target = next(t for t in self.site.targets if first[0].startswith(t.instance))
+        self.assertEqual(backed_off_target.demand.arrivals, [])
 
 
-async def until_all_told(test):
-    """Send requests until each plain target has turned one away."""
+async def until_all_rejected(test):
+    """Send requests until each plain target has rejected one."""
     end = time.monotonic() + 2.0
     while not all(t.demand.arrivals for t in test.site.targets) and time.monotonic() < end:
         await test.press(100, 0.1, "/scan/x")
 
 
 class BackoffsTest(unittest.TestCase):
-    """The account of back-offs, without a network."""
+    """The state of back-offs, without a network."""
 
     def setUp(self):
         self.backoffs = Backoffs()
@@ -132,27 +133,29 @@
     def test_backoff_lasts_until_the_latest_end_that_was_named(self):
         for seed in range(200):
             rng = random.Random(seed)
-            backoffs, ends, now = Backoffs(), {}, 0.0
+            backoffs, end_by_incarnation, now = Backoffs(), {}, 0.0
             for _ in range(60):
                 now += rng.random()
-                life = rng.choice("abc")
+                incarnation = rng.choice("abc")
                 match rng.randrange(4):
                     case 0:
                         seconds = rng.choice((0.1, 1.0, 3.0, 1e9))
-                        backoffs.ask(life, seconds, now)
-                        ends[life] = max(ends.get(life, 0.0), now + seconds)
+                        backoffs.ask(incarnation, seconds, now)
+                        end_by_incarnation[incarnation] = max(
+                            end_by_incarnation.get(incarnation, 0.0), now + seconds
+                        )
                     case 1:
-                        backoffs.forget(life)
-                        ends.pop(life, None)
-                    case 2 if backoffs.may_take(life, now):
-                        backoffs.take(life)
-                        backoffs.trial_taken(life, now)
+                        backoffs.forget(incarnation)
+                        end_by_incarnation.pop(incarnation, None)
+                    case 2 if backoffs.may_take(incarnation, now):
+                        backoffs.take(incarnation)
+                        backoffs.trial_taken(incarnation, now)
                     case 3:
-                        backoffs.trial_ended(life)
+                        backoffs.trial_ended(incarnation)
                 for name in "abc":
-                    held_off = ends.get(name, 0.0) > now
-                    self.assertEqual(backoffs.may_send(name, now), not held_off, seed)
-                    self.assertFalse(held_off and backoffs.may_take(name, now), seed)
+                    backed_off = end_by_incarnation.get(name, 0.0) > now
+                    self.assertEqual(backoffs.may_send(name, now), not backed_off, seed)
+                    self.assertFalse(backed_off and backoffs.may_take(name, now), seed)
 
     def test_one_request_at_a_time_tries_a_target_after_its_time(self):
         self.backoffs.ask("t", 2.0, 10.0)
@@ -183,7 +186,7 @@
                 found.add("Retry-After", text)
             return HeaderCodec().read_reply(status, found).notice.backoff
 
-        spoken = "Thu, 03 Dec 2026 10:00:00 GMT"
+        answered_at = "Thu, 03 Dec 2026 10:00:00 GMT"
         later = "Thu, 03 Dec 2026 10:00:07 GMT"
         for status in (429, 503):
             self.assertEqual(read(status, "3"), 3.0)
@@ -191,7 +194,7 @@
         self.assertEqual(read(503, "1", "4", "2"), 4.0)
         self.assertEqual(read(503, "-5"), 0.0)
         self.assertEqual(read(503, "9" * 30), float("9" * 30))
-        self.assertEqual(read(503, later, Date=spoken), 7.0)
+        self.assertEqual(read(503, later, Date=answered_at), 7.0)
         for text in ("soon", "nan", "inf", "9" * 50, later, ""):
             self.assertEqual(read(503, text), UNREADABLE_BACKOFF, text)
         self.assertIsNone(read(503))
@@ -199,7 +202,7 @@
 
 
 class PlacingTest(unittest.TestCase):
-    """Where requests go while targets shed load."""
+    """The choice of targets while some of them shed load."""
 
     def setUp(self):
         self.book = LoadBook("hall", random.Random(1))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,8 +1,8 @@
-"""Rate limits of accounts across entry hosts."""
+"""Rate limits of client accounts, divided among entry hosts."""
 
 import unittest
 
-from oleanderhill.limits.accounts import AccountLimits, Turn
+from oleanderhill.limits.accounts import AccountLimits, RoundRobin
 
 RATE = 90.0
 
@@ -14,11 +14,11 @@
     return hosts
 
 
-def settle(hosts, asked, sides):
-    """Let demand settle over some seconds; each side of a partition hears only itself."""
+def settle(hosts, requests_by_host, sides):
+    """Run 20 seconds of demand; each side of a partition receives only its own updates."""
     for _ in range(20):
         for name, limits in hosts.items():
-            for _ in range(asked.get(name, 0)):
+            for _ in range(requests_by_host.get(name, 0)):
                 limits.admit("a", 0.0)
         for side in sides:
             for name in side:
@@ -40,8 +40,8 @@
         self.assertGreater(hosts["e0"].share("a"), 5 * hosts["e1"].share("a"))
 
     def test_two_sides_of_a_partition_stay_within_the_rate(self):
-        # Both sides are asked by the account. Each sees part of the fleet only, and each would
-        # give the whole rate if it divided all of it among the hosts that it sees.
+        # The account sends requests to both sides. Guards against each side dividing the full rate
+        # among the hosts that it sees, which would admit twice the limit.
         hosts = fleet_of(9)
         names = list(hosts)
         sides = [names[:4], names[4:]]
@@ -57,11 +57,11 @@
         self.assertIsNone(limits.admit("a", waits[-1] + 0.01))
 
     def test_every_peer_has_its_turn(self):
-        turn = Turn(3)
+        round_robin = RoundRobin(3)
         names = [f"e{n}" for n in range(8)]
-        heard = [n for _ in range(3) for n in turn.next(names)]
-        self.assertEqual(set(heard), set(names))
-        self.assertEqual(turn.next(["e9"]), ["e9"])
+        selected = [n for _ in range(3) for n in round_robin.next(names)]
+        self.assertEqual(set(selected), set(names))
+        self.assertEqual(round_robin.next(["e9"]), ["e9"])
 
     def test_unknown_account_gets_one_request_at_most(self):
         limits = AccountLimits(1)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Targets that name how many requests a second they take from all entry hosts together."""
+"""Rate limits that targets state for all entry hosts together."""
 
 import random
 import time
@@ -38,17 +38,17 @@
 from .test_users_site import SiteTest
 
 DATAGRAM = 1_472
-"""Bytes of a datagram that fits into one frame."""
+"""Maximum size in bytes of a datagram that fits into one frame."""
 
 WINDOW = 4.0
-"""Seconds in which the requests to a limited target are counted."""
+"""Length in seconds of the window in which requests to a limited target are counted."""
 
-NEWS_TAKES = 0.5
-"""Seconds after which all entry hosts must know of a limit that one of them was told."""
+UPDATE_SECONDS = 0.5
+"""Seconds within which a limit stated to one entry host must be known to all."""
 
 
-def allowed(limit):
-    """Return how many requests a limited target may get in a window."""
+def max_requests(limit):
+    """Return the maximum number of requests to a limited target in a window."""
     return 1.5 * limit * WINDOW + 5
 
 
@@ -56,7 +56,7 @@
     entries = 3
 
     async def limited_head(self, limit):
-        """Name a limit at the head of one of two groups; return its demand and the model."""
+        """Set a limit at the head of one of two groups; return its demand and the model."""
         model = await self.model_with_two_groups()
         for entry in self.site.entries:
             await until(lambda e=entry: len(e.candidates("pool", model)) > 1)
@@ -65,29 +65,30 @@
         demand.limit = limit
         return demand, model
 
-    def assert_kept_and_used(self, demand, limit, told, seconds):
-        most = most_within(WINDOW, demand.arrivals, told + NEWS_TAKES)
-        self.assertLessEqual(most, allowed(limit))
-        used = sum(told <= at < told + seconds for at in demand.arrivals)
+    def assert_within_limit_and_used(self, demand, limit, stated_at, seconds):
+        most = most_within(WINDOW, demand.arrivals, stated_at + UPDATE_SECONDS)
+        self.assertLessEqual(most, max_requests(limit))
+        used = sum(stated_at <= at < stated_at + seconds for at in demand.arrivals)
         self.assertGreaterEqual(used, limit * seconds / 2)
 
     async def test_head_of_a_group_gets_no_more_than_its_limit_from_all_entry_hosts(self):
         demand, model = await self.limited_head("1.2")
-        told = await self.first_told(demand, "/read/x", "POST", model)
+        stated_at = await self.first_told(demand, "/read/x", "POST", model)
         answers = await self.press(12, 7.0, "/read/x", "POST", model)
-        self.assert_kept_and_used(demand, 1.2, told, 7.0)
+        self.assert_within_limit_and_used(demand, 1.2, stated_at, 7.0)
         self.assertEqual({reply.status for reply, _ in answers}, {200})
 
     async def test_plain_target_gets_no_more_than_its_limit_from_all_entry_hosts(self):
         demand = self.site.targets[0].demand
         demand.limit = "1"
-        told = await self.first_told(demand, "/scan/x")
+        stated_at = await self.first_told(demand, "/scan/x")
         answers = await self.press(12, 7.0, "/scan/x")
-        self.assert_kept_and_used(demand, 1.0, told, 7.0)
+        self.assert_within_limit_and_used(demand, 1.0, stated_at, 7.0)
         self.assertEqual({reply.status for reply, _ in answers}, {200})
 
     async def test_callers_are_refused_at_once_where_all_targets_are_limited(self):
-        # Neither a queue nor a wait for the deadline; not run, and a time to come back.
+        # The requests are neither queued nor kept until their deadline. They are not run, and the
+        # answers name a retry delay.
         for target in self.site.targets:
             target.demand.limit = "0.5"
             await self.first_told(target.demand, "/scan/x")
@@ -112,7 +113,7 @@
         self.assertGreater(len(demand.arrivals) - before, 6)
 
     async def test_refusal_that_names_a_limit_puts_nobody_in_doubt(self):
-        # The target asked for less; it is neither slow nor lost.
+        # A target that sheds load is neither slow nor lost.
         target = self.site.targets[0]
         target.demand.limit, target.faults.shed = "1", 1
         answers = await self.press(20, 0.5, "/scan/x")
@@ -130,18 +131,18 @@
         await until(lambda: late._book.limits.rate_by_life, 5.0)
         before = len(demand.arrivals)
         await self.press(12, 3.0, "/scan/x", entries=[late])
-        self.assertLessEqual(len(demand.arrivals) - before, allowed(1.0))
+        self.assertLessEqual(len(demand.arrivals) - before, max_requests(1.0))
 
     async def test_new_life_of_a_target_starts_without_a_limit(self):
         demand, model = await self.limited_head("1")
         await self.first_told(demand, "/read/x", "POST", model)
         limits = self.entry._book.limits
-        (life,) = limits.rate_by_life
-        self.site.engines.host_by_instance[life.partition("@")[0]].restart()
+        (incarnation,) = limits.rate_by_life
+        self.site.engines.host_by_instance[incarnation.partition("@")[0]].restart()
         await until(lambda: not limits.rate_by_life, 5.0)
 
     async def test_limit_of_a_member_named_in_its_answers_to_probes_binds_the_group(self):
-        # Every request of the group passes through it, though it gets none itself.
+        # Every request of the group passes through the member, though it receives none itself.
         _, model = await self.limited_head("")
         group = self.entry.candidates("pool", model)[0]
         member = self.site.engines.host_by_instance[group.members[0].partition("@")[0]]
@@ -156,7 +157,7 @@
 
 
 class NamedLimitTest(unittest.TestCase):
-    """What is read from the header of an answer."""
+    """Parsing of the limit header of an answer."""
 
     def read(self, *values):
         headers = HTTPHeaders({"Response-Seal": "s"})
@@ -193,188 +194,188 @@
 
 
 class TargetLimitsTest(unittest.TestCase):
-    """The account of one host among eight; times are seconds."""
+    """The limits at one of eight hosts; times are seconds."""
 
     def setUp(self):
         self.hosts = tuple(f"entry-{n}" for n in range(8))
-        self.account = TargetLimits("entry-0")
-        self.account.reach(self.hosts, True, 0.0)
+        self.limits = TargetLimits("entry-0")
+        self.limits.reach(self.hosts, True, 0.0)
 
-    def told(self, rate, asked_at, now, account=None, asked=Asked.REQUEST):
-        return (account or self.account).answered("t", rate, asked, asked_at, now)
+    def state_limit(self, rate, asked_at, now, limits=None, asked=Asked.REQUEST):
+        return (limits or self.limits).answered("t", rate, asked, asked_at, now)
 
     def sharer(self, rate):
-        """Return the account of a host that shares a limit, which it was told at 1 s."""
-        self.told(rate, 0.0, 1.0)
-        account = TargetLimits(self.account.sharers("t")[0])
-        account.reach(self.hosts, True, 0.0)
-        self.told(rate, 0.0, 1.0, account)
-        return account
+        """Return the limits of a host that shares a limit, which was stated to it at 1 s."""
+        self.state_limit(rate, 0.0, 1.0)
+        limits = TargetLimits(self.limits.sharers("t")[0])
+        limits.reach(self.hosts, True, 0.0)
+        self.state_limit(rate, 0.0, 1.0, limits)
+        return limits
 
     def test_targets_without_a_limit_take_whatever_is_sent(self):
-        self.assertTrue(self.account.may_send(("t",), 0.0))
-        self.assertIsNone(self.told(None, 0.0, 1.0))
-        self.assertFalse(self.account.known)
+        self.assertTrue(self.limits.may_send(("t",), 0.0))
+        self.assertIsNone(self.state_limit(None, 0.0, 1.0))
+        self.assertFalse(self.limits.known)
 
     def test_hosts_in_sum_keep_the_limit_and_use_it(self):
         for rate in (0.0, 0.3, 1.0, 1.2, 3.0, 10.0):
-            accounts = [TargetLimits(name) for name in self.hosts]
+            all_limits = [TargetLimits(name) for name in self.hosts]
             sent = []
-            for account in accounts:
-                account.reach(self.hosts, True, 0.0)
-                self.told(rate, 0.0, 1.0, account)
+            for limits in all_limits:
+                limits.reach(self.hosts, True, 0.0)
+                self.state_limit(rate, 0.0, 1.0, limits)
             for tick in range(100, 3_000):
-                for account in accounts:
-                    if account.take(("t",), tick / 100) is not None:
+                for limits in all_limits:
+                    if limits.take(("t",), tick / 100) is not None:
                         sent.append(tick / 100)
-            self.assertLessEqual(most_within(WINDOW, sent, 0.0), allowed(rate))
+            self.assertLessEqual(most_within(WINDOW, sent, 0.0), max_requests(rate))
             self.assertGreaterEqual(len(sent), 29 * max(rate, LEAST_RATE) * 0.8)
 
     def test_all_idle_shares_at_once_stay_within_the_bound(self):
         for rate in (0.0, 0.3, 1.0, 1.2, 3.0, 10.0, 1e9):
-            accounts = [TargetLimits(f"entry-{n}") for n in range(195)]
-            hosts = tuple(a._me for a in accounts)
-            for account in accounts:
-                account.reach(hosts, True, 0.0)
-                self.told(rate, 0.0, 1.0, account)
-            at_once = sum(a.take(("t",), 1_000.0) is not None for a in accounts)
-            self.assertLessEqual(at_once, 2 * rate + 3)
+            all_limits = [TargetLimits(f"entry-{n}") for n in range(195)]
+            hosts = tuple(a._me for a in all_limits)
+            for limits in all_limits:
+                limits.reach(hosts, True, 0.0)
+                self.state_limit(rate, 0.0, 1.0, limits)
+            total = sum(a.take(("t",), 1_000.0) is not None for a in all_limits)
+            self.assertLessEqual(total, 2 * rate + 3)
 
     def test_older_answer_neither_ends_nor_raises_a_limit(self):
-        self.told(1.0, 0.0, 2.0)
-        self.assertIsNone(self.told(None, 1.9, 3.0))
-        self.assertIsNone(self.told(5.0, 1.9, 3.0))
-        self.assertEqual(self.account.rate_by_life, {"t": 1.0})
+        self.state_limit(1.0, 0.0, 2.0)
+        self.assertIsNone(self.state_limit(None, 1.9, 3.0))
+        self.assertIsNone(self.state_limit(5.0, 1.9, 3.0))
+        self.assertEqual(self.limits.rate_by_life, {"t": 1.0})
 
     def test_older_answer_lowers_a_limit_as_it_may_be_newer(self):
-        self.told(1.0, 0.0, 2.0)
-        self.told(0.5, 1.9, 3.0)
-        self.assertEqual(self.account.rate_by_life, {"t": 0.5})
+        self.state_limit(1.0, 0.0, 2.0)
+        self.state_limit(0.5, 1.9, 3.0)
+        self.assertEqual(self.limits.rate_by_life, {"t": 0.5})
 
     def test_answer_to_a_request_sent_after_the_last_naming_ends_it(self):
-        self.told(1.0, 0.0, 2.0)
-        self.told(1.0, 1.0, 3.0)
-        self.assertIsNone(self.told(None, 2.5, 4.0))
-        self.assertEqual(self.told(None, 3.1, 4.0).rate, None)
-        self.assertTrue(self.account.may_send(("t",), 4.0))
+        self.state_limit(1.0, 0.0, 2.0)
+        self.state_limit(1.0, 1.0, 3.0)
+        self.assertIsNone(self.state_limit(None, 2.5, 4.0))
+        self.assertEqual(self.state_limit(None, 3.1, 4.0).rate, None)
+        self.assertTrue(self.limits.may_send(("t",), 4.0))
 
     def test_answers_to_probes_end_only_what_they_named(self):
-        self.told(1.0, 0.0, 1.0)
-        self.assertIsNone(self.told(None, 2.0, 3.0, asked=Asked.CONTROL))
-        self.told(None, 2.0, 3.0)
-        self.told(1.0, 4.0, 5.0, asked=Asked.CONTROL)
-        self.assertIsNotNone(self.told(None, 6.0, 7.0, asked=Asked.CONTROL))
+        self.state_limit(1.0, 0.0, 1.0)
+        self.assertIsNone(self.state_limit(None, 2.0, 3.0, asked=Asked.CONTROL))
+        self.state_limit(None, 2.0, 3.0)
+        self.state_limit(1.0, 4.0, 5.0, asked=Asked.CONTROL)
+        self.assertIsNotNone(self.state_limit(None, 6.0, 7.0, asked=Asked.CONTROL))
 
     def test_host_that_hears_nobody_takes_no_share(self):
-        account = self.sharer(3.0)
-        account.reach(self.hosts, False, 2.0)
-        self.assertFalse(account.may_send(("t",), 100.0))
-        account.reach(self.hosts, True, 2.0)
-        self.assertTrue(account.may_send(("t",), 100.0))
+        limits = self.sharer(3.0)
+        limits.reach(self.hosts, False, 2.0)
+        self.assertFalse(limits.may_send(("t",), 100.0))
+        limits.reach(self.hosts, True, 2.0)
+        self.assertTrue(limits.may_send(("t",), 100.0))
 
     def test_host_that_is_in_nobodys_view_takes_no_share(self):
-        account = TargetLimits("unknown")
-        account.reach(self.hosts, True, 0.0)
-        self.told(100.0, 0.0, 1.0, account)
-        self.assertFalse(account.may_send(("t",), 100.0))
+        limits = TargetLimits("unknown")
+        limits.reach(self.hosts, True, 0.0)
+        self.state_limit(100.0, 0.0, 1.0, limits)
+        self.assertFalse(limits.may_send(("t",), 100.0))
 
     def test_who_takes_anothers_share_waits_until_what_that_one_sent_is_past(self):
-        account = self.sharer(1.0)
-        others = tuple(h for h in self.hosts if h != account._me)
-        account.reach(others, True, 50.0)
-        account.reach(self.hosts, True, 60.0)
-        self.assertFalse(account.may_send(("t",), 60.0 + TAKE_OVER_WAIT - 0.1))
-        self.assertTrue(account.may_send(("t",), 60.0 + TAKE_OVER_WAIT + 0.1))
+        limits = self.sharer(1.0)
+        others = tuple(h for h in self.hosts if h != limits._me)
+        limits.reach(others, True, 50.0)
+        limits.reach(self.hosts, True, 60.0)
+        self.assertFalse(limits.may_send(("t",), 60.0 + TAKE_OVER_WAIT - 0.1))
+        self.assertTrue(limits.may_send(("t",), 60.0 + TAKE_OVER_WAIT + 0.1))
 
     def test_unsent_permit_is_given_back(self):
-        account = self.sharer(1.0)
-        permit = account.take(("t",), 100.0)
-        self.assertFalse(account.may_send(("t",), 100.1))
-        account.give_back(permit)
-        self.assertTrue(account.may_send(("t",), 100.1))
-        self.assertEqual(account.sent, 0)
+        limits = self.sharer(1.0)
+        permit = limits.take(("t",), 100.0)
+        self.assertFalse(limits.may_send(("t",), 100.1))
+        limits.give_back(permit)
+        self.assertTrue(limits.may_send(("t",), 100.1))
+        self.assertEqual(limits.sent, 0)
 
     def test_request_that_was_placed_before_the_news_is_held_back(self):
-        permit = self.account.take(("t",), 1.0)
-        self.told(1.0, 0.0, 1.1)
-        self.assertFalse(self.account.confirm(permit, 1.2))
+        permit = self.limits.take(("t",), 1.0)
+        self.state_limit(1.0, 0.0, 1.1)
+        self.assertFalse(self.limits.confirm(permit, 1.2))
 
     def test_request_placed_within_the_limit_in_force_goes(self):
-        account = self.sharer(1.0)
-        permit = account.take(("t",), 100.0)
-        self.assertTrue(account.confirm(permit, 100.1))
-        self.assertFalse(account.may_send(("t",), 100.1))
+        limits = self.sharer(1.0)
+        permit = limits.take(("t",), 100.0)
+        self.assertTrue(limits.confirm(permit, 100.1))
+        self.assertFalse(limits.may_send(("t",), 100.1))
 
     def test_number_that_changes_with_each_answer_neither_starves_nor_floods(self):
         for step in (0.01, -0.01):
-            account, sent = self.sharer(3.0), 0
+            limits, sent = self.sharer(3.0), 0
             for tick in range(200, 3_000):
                 rate = 3.0 + step * (tick // 50)
-                self.told(rate, tick / 100, tick / 100, account)
-                sent += account.take(("t",), tick / 100) is not None
-            share = 3.0 / len(account.sharers("t"))
+                self.state_limit(rate, tick / 100, tick / 100, limits)
+                sent += limits.take(("t",), tick / 100) is not None
+            share = 3.0 / len(limits.sharers("t"))
             self.assertLessEqual(sent, 28 * share * 1.2 + 1)
             self.assertGreaterEqual(sent, 28 * share * 0.7)
 
     def test_much_lower_limit_has_each_host_wait_its_turn_anew(self):
-        account = self.sharer(10.0)
-        self.told(1.0, 90.0, 100.0, account)
-        self.assertFalse(account.may_send(("t",), 100.5))
+        limits = self.sharer(10.0)
+        self.state_limit(1.0, 90.0, 100.0, limits)
+        self.assertFalse(limits.may_send(("t",), 100.5))
 
     def test_orders_count_as_requests(self):
-        account = self.sharer(1.0)
-        account.spend("t", 100.0)
-        self.assertFalse(account.may_send(("t",), 100.1))
+        limits = self.sharer(1.0)
+        limits.spend("t", 100.0)
+        self.assertFalse(limits.may_send(("t",), 100.1))
 
     def test_newest_statement_wins_and_of_two_with_one_version_the_tighter(self):
-        def hear(version, rate):
+        def apply(version, rate):
             news = LimitNews("peer", {"t": Statement(version, rate)})
-            return bool(self.account.hear(news, lambda life: True, 5.0))
+            return bool(self.limits.hear(news, lambda incarnation: True, 5.0))
 
-        self.assertTrue(hear(3, 2.0))
-        self.assertFalse(hear(2, 0.1))
-        self.assertFalse(hear(3, 4.0))
-        self.assertFalse(hear(3, None))
-        self.assertTrue(hear(3, 1.0))
-        self.assertTrue(hear(4, None))
-        self.assertEqual(self.account.rate_by_life, {})
+        self.assertTrue(apply(3, 2.0))
+        self.assertFalse(apply(2, 0.1))
+        self.assertFalse(apply(3, 4.0))
+        self.assertFalse(apply(3, None))
+        self.assertTrue(apply(3, 1.0))
+        self.assertTrue(apply(4, None))
+        self.assertEqual(self.limits.rate_by_life, {})
 
     def test_news_of_a_life_that_is_over_are_not_taken(self):
         news = LimitNews("peer", {"t": Statement(3, 2.0)})
-        self.assertEqual(self.account.hear(news, lambda life: False, 5.0), [])
+        self.assertEqual(self.limits.hear(news, lambda incarnation: False, 5.0), [])
 
     def test_what_no_entry_host_says_is_not_believed(self):
         for rate, version in ((float("nan"), 1), (float("inf"), 1), (-1.0, 1), (1.0, 2**63)):
             with self.subTest(rate=rate, version=version):
                 news = LimitNews("anybody", {"t": Statement(version, rate)})
-                self.assertEqual(self.account.hear(news, lambda life: True, 5.0), [])
+                self.assertEqual(self.limits.hear(news, lambda incarnation: True, 5.0), [])
 
     def test_news_is_told_with_each_report_and_then_now_and_then(self):
-        self.told(1.0, 0.0, 1.0)
-        told = [bool(self.account.news(1.0 + n * 0.05)) for n in range(60)]
-        self.assertTrue(all(told[:10]))
-        self.assertEqual(sum(told[20:]), round(40 * 0.05 / AGAIN_EVERY))
+        self.state_limit(1.0, 0.0, 1.0)
+        sent = [bool(self.limits.news(1.0 + n * 0.05)) for n in range(60)]
+        self.assertTrue(all(sent[:10]))
+        self.assertEqual(sum(sent[20:]), round(40 * 0.05 / AGAIN_EVERY))
 
     def test_news_fits_into_one_frame(self):
         for number in range(100):
-            life = f"i-{number:030}@1788000000000"
-            self.account.answered(life, 1.23456789, Asked.CONTROL, 0.0, 1.0)
-        sizes = [len(msgspec.msgpack.encode(part)) for part in self.account.news(2.0)]
+            incarnation = f"i-{number:030}@1788000000000"
+            self.limits.answered(incarnation, 1.23456789, Asked.CONTROL, 0.0, 1.0)
+        sizes = [len(msgspec.msgpack.encode(part)) for part in self.limits.news(2.0)]
         self.assertLess(max(sizes), DATAGRAM)
 
     def test_what_is_kept_is_bounded_and_what_ended_goes_first(self):
         for number in range(STATEMENTS_KEPT):
-            self.account.answered(str(number), 1.0, Asked.REQUEST, 0.0, 1.0)
-        self.account.answered("700", None, Asked.REQUEST, 2.0, 3.0)
-        self.account.answered("new", 1.0, Asked.REQUEST, 0.0, 4.0)
-        self.assertIn("0", self.account.rate_by_life)
-        self.account.answered("newer", 1.0, Asked.REQUEST, 0.0, 4.0)
-        self.assertEqual(len(self.account.rate_by_life), STATEMENTS_KEPT)
+            self.limits.answered(str(number), 1.0, Asked.REQUEST, 0.0, 1.0)
+        self.limits.answered("700", None, Asked.REQUEST, 2.0, 3.0)
+        self.limits.answered("new", 1.0, Asked.REQUEST, 0.0, 4.0)
+        self.assertIn("0", self.limits.rate_by_life)
+        self.limits.answered("newer", 1.0, Asked.REQUEST, 0.0, 4.0)
+        self.assertEqual(len(self.limits.rate_by_life), STATEMENTS_KEPT)
 
     def test_limit_goes_with_its_life(self):
-        self.told(1.0, 0.0, 1.0)
-        self.account.forget("t")
-        self.assertTrue(self.account.may_send(("t",), 1.0))
+        self.state_limit(1.0, 0.0, 1.0)
+        self.limits.forget("t")
+        self.assertTrue(self.limits.may_send(("t",), 1.0))
 
     def test_fleets_that_come_go_and_hear_late_keep_limits_use_them_and_know_their_end(self):
         for seed in range(12):
@@ -383,7 +384,7 @@
 
 
 class PlacingTest(unittest.TestCase):
-    """Where requests go while a target names a limit."""
+    """The choice of targets while some of them state a limit."""
 
     def setUp(self):
         self.limits = TargetLimits("me")
@@ -396,8 +397,8 @@
     def choose(self, now):
         return self.book.choose(self.candidates, set(), now, 1.2, lambda address: False)
 
-    def limit(self, life, rate, now=0.0):
-        self.limits.answered(life, rate, Asked.REQUEST, now, now)
+    def limit(self, incarnation, rate, now=0.0):
+        self.limits.answered(incarnation, rate, Asked.REQUEST, now, now)
 
     def test_limited_target_is_chosen_when_its_turn_comes_and_only_then(self):
         self.limit("a", 1.0)
@@ -424,7 +425,7 @@
 
 
 class LimitSpreadTest(unittest.IsolatedAsyncioTestCase):
-    """News of a limit among 195 entry hosts in five data centres, through hubs, in virtual time."""
+    """Spread of limit updates among 195 entry hosts in five data centres, in virtual time."""
 
     def setUp(self):
         self.now = 100.0
@@ -435,7 +436,7 @@
             self.addCleanup(patch.stop)
         self.rng = random.Random(7)
         self.loss = 0.0
-        self.gone = set()
+        self.down = set()
         self.alive = {
             f"{centre}-{n}": Presence(f"{centre}-{n}", "life", "127.0.0.1:9", centre)
             for centre in "abcde"
@@ -444,86 +445,86 @@
         self.inventory = Inventory()
         host = TargetHost(Instance("t", 5), "desk", "127.0.0.1:8", "a", False, 6)
         self.inventory.put(host)
-        self.accounts, self.tasks, self.gossip = {}, {}, {}
+        self.all_limits, self.tasks, self.gossip = {}, {}, {}
         for name in self.alive:
-            self.make(name)
+            self.add_host(name)
 
-    def make(self, name):
-        account = self.accounts[name] = TargetLimits(name)
+    def add_host(self, name):
+        limits = self.all_limits[name] = TargetLimits(name)
         kernel, records = Kernel(), Records(name)
         task = TargetLimitTask(
-            kernel, account, self.inventory, list, None, lambda host: True, records
+            kernel, limits, self.inventory, list, None, lambda host: True, records
         )
         quarantine = SimpleNamespace(news=lambda again: [])
         loads = LoadBook("a", random.Random(1))
-        loads.begin("another")  # a host with a request reports at each tick
+        loads.begin("another")  # a host with a request in flight reports at each tick
         leaving = SimpleNamespace(news=lambda sender: [])
         made = GossipTask(
             kernel, self.alive[name], loads, lambda: self.alive, quarantine, {}, task, leaving
         )
 
         def send_to(data, names, alive):
-            for other in names if name not in self.gone else ():
-                if other not in self.gone and self.rng.random() >= self.loss:
+            for other in names if name not in self.down else ():
+                if other not in self.down and self.rng.random() >= self.loss:
                     self.gossip[other]._hear(data)
 
         made._send_to = send_to
         self.tasks[name], self.gossip[name] = task, made
 
-    def tell(self, name, named):
+    def answer(self, name, named):
         self.tasks[name].answered("t@5", named, Source(Asked.REQUEST, self.now))
 
-    async def go_on(self, seconds):
-        """Let all report for a time."""
+    async def advance(self, seconds):
+        """Let all hosts that are up send their reports for some seconds."""
         end = self.now + seconds
         while self.now < end:
-            for name in self.alive.keys() - self.gone:
+            for name in self.alive.keys() - self.down:
                 await self.gossip[name].tick()
             self.now += gossip.EVERY
 
     async def seconds_until(self, known):
         began = self.now
         while self.now - began < 10.0:
-            here = [n for n in self.alive if n not in self.gone]
+            here = [n for n in self.alive if n not in self.down]
             for name in here:
                 await self.gossip[name].tick()
-            if all(self.accounts[n].rate_by_life.get("t@5") == known for n in here):
+            if all(self.all_limits[n].rate_by_life.get("t@5") == known for n in here):
                 return self.now - began
             self.now += gossip.EVERY
         return 10.0
 
     async def test_all_know_of_a_limit_within_half_a_second_though_datagrams_are_lost(self):
         self.loss = 0.1
-        await self.go_on(1.0)
-        self.tell("b-7", NamedLimit(1.2, "1.2"))
+        await self.advance(1.0)
+        self.answer("b-7", NamedLimit(1.2, "1.2"))
         self.assertLess(await self.seconds_until(1.2), 0.5)
 
     async def test_all_know_of_it_though_a_hub_is_killed(self):
-        await self.go_on(1.0)
-        self.gone = {hub_ranking("b", self.alive)[0]}
-        self.tell("c-1", NamedLimit(1.2, "1.2"))
+        await self.advance(1.0)
+        self.down = {hub_ranking("b", self.alive)[0]}
+        self.answer("c-1", NamedLimit(1.2, "1.2"))
         self.assertLess(await self.seconds_until(1.2), 1.0)
 
     async def test_all_know_of_its_end(self):
-        self.tell("b-7", NamedLimit(1.2, "1.2"))
+        self.answer("b-7", NamedLimit(1.2, "1.2"))
         await self.seconds_until(1.2)
-        await self.go_on(1.0)
-        self.tell("d-3", None)
+        await self.advance(1.0)
+        self.answer("d-3", None)
         self.assertLess(await self.seconds_until(None), 0.5)
 
     async def test_host_that_restarts_is_told_within_a_second(self):
-        self.tell("b-7", NamedLimit(1.2, "1.2"))
+        self.answer("b-7", NamedLimit(1.2, "1.2"))
         await self.seconds_until(1.2)
-        await self.go_on(2.0)
-        self.make("d-9")
+        await self.advance(2.0)
+        self.add_host("d-9")
         self.assertLess(await self.seconds_until(1.2), 1.0)
 
     async def test_unreadable_limit_is_taken_for_a_low_one_and_never_raises_one(self):
-        self.tell("b-7", NamedLimit(None, "many"))
-        self.assertEqual(self.accounts["b-7"].rate_by_life, {"t@5": UNREADABLE_RATE})
-        self.tell("b-7", NamedLimit(0.1, "0.1"))
-        self.tell("b-7", NamedLimit(None, "many"))
-        self.assertEqual(self.accounts["b-7"].rate_by_life, {"t@5": 0.1})
+        self.answer("b-7", NamedLimit(None, "many"))
+        self.assertEqual(self.all_limits["b-7"].rate_by_life, {"t@5": UNREADABLE_RATE})
+        self.answer("b-7", NamedLimit(0.1, "0.1"))
+        self.answer("b-7", NamedLimit(None, "many"))
+        self.assertEqual(self.all_limits["b-7"].rate_by_life, {"t@5": 0.1})
 
 
 if __name__ == "__main__":
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of a group, evidence and the delay of messages."""
+"""Choice of a group, evidence about groups and estimates of message delay."""
 
 import random
 import unittest
@@ -91,19 +91,21 @@
 
 class EvidenceBookTest(unittest.TestCase):
     def test_records_of_a_successor_outrank_those_of_an_owner_that_went_on_unsaved(self):
-        # The store was out; the old owner went on and counted its ledger up to version 9. Its
-        # successor starts from what the store has, version 3, under a higher owner epoch.
-        book = EvidenceBook(router())
-        unsaved, saved = record(epoch=9), record(epoch=2)
+        # While the store was down, the old owner continued without saving and reached ledger
+        # version 9. Its successor starts from the stored version 3, with a higher owner epoch.
+        evidence_book = EvidenceBook(router())
+        old_record, new_record = record(epoch=9), record(epoch=2)
         states = (GroupState(3, 0, 0, 0, 8),)
-        book.learn(DomainEvidence("d", "dc", 1, 9, states, (unsaved,), 2), 100.0)
-        self.assertTrue(book.learn(DomainEvidence("d", "dc", 2, 3, states, (saved,), 2), 101.0))
-        self.assertEqual(book.router.by_group[GROUP].view.epoch, 2)
+        evidence_book.learn(DomainEvidence("d", "dc", 1, 9, states, (old_record,), 2), 100.0)
+        self.assertTrue(
+            evidence_book.learn(DomainEvidence("d", "dc", 2, 3, states, (new_record,), 2), 101.0)
+        )
+        self.assertEqual(evidence_book.router.by_group[GROUP].view.epoch, 2)
 
 
 class ClockOffsetsTest(unittest.TestCase):
     def test_burst_after_a_pause_is_not_believed(self):
-        # The reader was stopped; ten messages of the last ten seconds arrive in one instant.
+        # After a pause of the reader, ten messages of the last ten seconds arrive in one instant.
         offsets = ClockOffsets()
         found = [offsets.sent_at("e", 1, float(n), 50.0) for n in range(10)]
         self.assertEqual(set(found), {None})
