--- a/src/oleanderhill/clients/__init__.py
+++ b/src/oleanderhill/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of what lies outside: HTTP, the store, target hosts."""
+"""Clients for external systems: HTTP, the store and target hosts."""
--- a/src/oleanderhill/clients/currency.py
+++ b/src/oleanderhill/clients/currency.py
@@ -1,49 +1,49 @@
-"""Proof that the configuration held is the newest, and how old that proof is.
+"""Freshness checks: when the held configuration was last verified to be the newest.
 
-A key that operators take away must be dead everywhere after a stated time, also at a host that
-hears nothing of it: cut off from the store, or asleep. So a host does not wait for bad news. It
-needs good news: proof, younger than the bound less a margin, that its configuration was the
-newest. Without it, requests with a key are refused as not run, and a host elsewhere serves them.
+A removed API key must stop working everywhere within a stated time, also at a host that is
+partitioned from the store or suspended. A host therefore doesn't wait to learn of the removal.
+It accepts keys only while the last successful freshness check is younger than the bound less a
+margin. Otherwise it rejects requests with a key as not run, and another host can serve them.
 """
 
 from __future__ import annotations
 
 PROOF_MARGIN = 0.7
-"""Seconds kept back from the bound: the largest part is a wake-up after a short freeze between the
-check and the moment at which the caller's request counts as sent."""
+"""Seconds subtracted from the bound. Most of it covers a short process freeze between the age check
+and the moment at which the caller's request counts as sent."""
 
 
 class Currency:
-    """The newest proof.
+    """The time of the last successful freshness check.
 
-    :param bound: seconds after which a removed key must be dead
-    :ivar suspended: no proof is taken, as the store has an older configuration than the one held
+    :param bound: seconds after which a removed key must be rejected
+    :ivar suspended: checks are ignored, as the store has an older configuration than the one held
     """
 
     def __init__(self, bound: float) -> None:
         self._max_age = bound - PROOF_MARGIN
-        self._proved_at = float("-inf")
-        self._distrusted_until = float("-inf")
+        self._verified_at = float("-inf")
+        self._ignored_before = float("-inf")
         self.suspended = False
 
     @property
     def proved_at(self) -> float:
-        """Return the time at which the configuration held was proved to be the newest."""
-        return self._proved_at
+        """Return the time at which the held configuration was last verified to be the newest."""
+        return self._verified_at
 
     def prove(self, at: float) -> None:
-        """Take a proof that the configuration held was the newest at ``at``."""
-        if not self.suspended and at >= self._distrusted_until:
-            self._proved_at = max(self._proved_at, at)
+        """Record that the held configuration was verified to be the newest at ``at``."""
+        if not self.suspended and at >= self._ignored_before:
+            self._verified_at = max(self._verified_at, at)
 
     def distrust(self, until: float) -> None:
-        """Take no proof of a time before ``until``, as the store may have lost the newest."""
-        self._distrusted_until = max(self._distrusted_until, until)
+        """Ignore checks of a time before ``until``: the store may have lost the newest version."""
+        self._ignored_before = max(self._ignored_before, until)
 
     def age(self, now: float) -> float:
-        """Return the age of the newest proof, in seconds."""
-        return now - self._proved_at
+        """Return the seconds since the last successful check."""
+        return now - self._verified_at
 
     def holds(self, now: float) -> bool:
-        """Tell whether keys may be used now."""
+        """Return whether keys may be accepted now."""
         return self.age(now) <= self._max_age
--- a/src/oleanderhill/clients/httpcall.py
+++ b/src/oleanderhill/clients/httpcall.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange, with what a caller must know of a failure: had bytes left or not?
+"""HTTP client whose failures tell whether any bytes of the request may have been sent.
 
-Built on tornado's :class:`~tornado.http1connection.HTTP1Connection`, whose client side, unlike
-``AsyncHTTPClient``, lets an exchange be abandoned at once (its socket closes), applies
-back-pressure to the body, and shows the moment before the first byte leaves.
+Built on tornado's :class:`~tornado.http1connection.HTTP1Connection`. Unlike ``AsyncHTTPClient``,
+its client side closes the socket as soon as an exchange is abandoned, applies back-pressure to the
+body, and has a hook before the first byte is sent.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 CONNECT_TIMEOUT = 1.0
-MAX_REPLY = 16 * 1024 * 1024
-IDLE_PER_ADDRESS = 16
-"""Idle connections kept to one address: one for each request that an engine group runs at once."""
+MAX_REPLY_BYTES = 16 * 1024 * 1024
+MAX_IDLE_PER_ADDRESS = 16
+"""Idle connections per address: one for each request that an engine group runs concurrently."""
 
-IDLE_SECONDS = 8.0
-"""Seconds for which an idle connection is kept where the other side names no time of its own."""
+DEFAULT_IDLE_SECONDS = 8.0
+"""Seconds for which a connection may stay idle if the server sends no ``Keep-Alive`` timeout."""
 
-IDLE_MARGIN = 0.5
-"""Seconds by which the other side's time is undercut: it runs from the end of its own reply, and
-the next request takes its way too."""
+IDLE_MARGIN_SECONDS = 0.5
+"""Seconds subtracted from the server's timeout, which starts when the server ends its reply and
+must also cover the transit time of the next request."""
 
-FOREIGN_REPLIES = 3
-"""Late extra replies that are skipped on one connection before it counts as spoilt."""
+MAX_SKIPPED_REPLIES = 3
+"""Late duplicate replies skipped on one connection before it is closed."""
 
 
 class FailureKind(StrEnum):
@@ -49,10 +49,10 @@
 
 
 class CallFailure(NamedTuple):
-    """An exchange without a whole reply.
+    """An exchange without a complete reply.
 
-    :param sent: some bytes of the request may have reached the other side
-    :param refused: the host is there, and nothing listens at the address
+    :param sent: some bytes of the request may have reached the server
+    :param refused: the host is reachable, and nothing listens at the address
     """
 
     kind: FailureKind
@@ -62,7 +62,7 @@
 
 
 class Reply(NamedTuple):
-    """A whole reply; ``body`` is empty where an observer took the pieces."""
+    """A complete reply; ``body`` is empty if an observer received the chunks."""
 
     status: int
     headers: HTTPHeaders
@@ -70,28 +70,28 @@
 
 
 class Observer:
-    """Takes note of an exchange as it goes on. All methods may be left as they are."""
+    """Callbacks of an exchange in progress. Overriding any of them is optional."""
 
     def sending(self) -> bool:
-        """Tell whether the first byte may leave now; nothing is sent on ``False``."""
+        """Return whether the request may be sent now; ``False`` aborts it before the first byte."""
         return True
 
     def headers(self, status: int, headers: HTTPHeaders) -> None:
-        """Take the status and headers of the reply."""
+        """Handle the status and headers of the reply."""
 
     def data(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take a piece of the body; reading goes on when the result is done."""
+        """Handle a chunk of the body; reading continues once the returned awaitable is done."""
 
 
 class Call(NamedTuple):
-    """What to send.
-
-    :param timeout: seconds for the whole exchange, ``None`` for no bound of its own
-    :param reuse: an idle connection may be used, and this one kept afterwards
-    :param unframed: a reply without a length that ends with its connection is whole, unless the
-        connection was reset
-    :param belongs: tells of a reply's headers whether it answers this call; one that doesn't is a
-        late extra reply to an earlier call, is dropped, and the next one is read
+    """A request and how to send it.
+
+    :param timeout: seconds for the whole exchange, ``None`` for no limit
+    :param reuse: an idle connection may be used, and this one stays open afterwards
+    :param unframed: a reply without a length, delimited by the close of its connection, counts as
+        complete unless the connection was reset
+    :param belongs: returns from a reply's headers whether it answers this call; a reply that
+        doesn't is a late duplicate to an earlier call and is skipped
     """
 
     address: str
@@ -101,28 +101,28 @@
     body: bytes = b""
     timeout: float | None = 5.0
     reuse: bool = False
-    max_reply: int = MAX_REPLY
+    max_reply: int = MAX_REPLY_BYTES
     unframed: bool = False
     belongs: Callable[[HTTPHeaders], bool] | None = None
     connect_timeout: float = CONNECT_TIMEOUT
 
 
-class _Idle(NamedTuple):
+class _IdleConnection(NamedTuple):
     stream: IOStream
-    until: float
+    expires_at: float
 
 
-class _Collector(HTTPMessageDelegate):
-    def __init__(self, observer: Observer | None, what: Call) -> None:
+class _ReplyCollector(HTTPMessageDelegate):
+    def __init__(self, observer: Observer | None, request: Call) -> None:
         self._observer = observer
-        self._what = what
-        self.foreign = False
+        self._request = request
+        self.unrelated = False
         self.status = 0
         self.reply_headers = HTTPHeaders()
         self.chunks: list[bytes] = []
         self.finished = False
-        self.framed = False
-        self.open_ended = False
+        self.framing_accepted = False
+        self.close_delimited = False
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
@@ -130,20 +130,23 @@
         assert isinstance(start_line, ResponseStartLine)
         if start_line.code < 200:
             return
-        if self._what.belongs is not None and not self._what.belongs(headers):
-            self.foreign = True
+        if self._request.belongs is not None and not self._request.belongs(headers):
+            self.unrelated = True
             return
         self.status = start_line.code
         self.reply_headers = headers
-        # Without a length or chunks a reply ends where the connection does, and a cut one looks
-        # whole. It is taken for complete only where the call says so, and not after a reset.
-        self.open_ended = "Content-Length" not in headers and "Transfer-Encoding" not in headers
-        self.framed = self._what.unframed or not self.open_ended
+        # Without a length or chunked encoding the close of the connection delimits the reply, and a
+        # truncated one looks complete. It is accepted only if the call allows it, and not after a
+        # reset.
+        self.close_delimited = (
+            "Content-Length" not in headers and "Transfer-Encoding" not in headers
+        )
+        self.framing_accepted = self._request.unframed or not self.close_delimited
         if self._observer is not None:
             self._observer.headers(start_line.code, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        if self.foreign:
+        if self.unrelated:
             return None
         if self._observer is None:
             self.chunks.append(chunk)
@@ -155,18 +158,18 @@
 
 
 class HttpCaller:
-    """Makes exchanges, and keeps idle connections for calls that allow their reuse."""
+    """Sends requests, and pools idle connections for calls that allow reuse."""
 
     def __init__(self) -> None:
-        self._idle_by_address: dict[str, list[_Idle]] = {}
+        self._idle_by_address: dict[str, list[_IdleConnection]] = {}
         self.opened = 0
 
     async def call(
-        self, what: Call, observer: Observer | None = None
+        self, request: Call, observer: Observer | None = None
     ) -> Result[Reply, CallFailure]:
-        """Make one exchange. Cancelling it closes its connection at once."""
+        """Send one request and read its reply. Cancellation closes the connection immediately."""
         try:
-            stream = await self._connect(what)
+            stream = await self._connect(request)
         except (OSError, StreamClosedError, TimeoutError) as error:
             cause = getattr(error, "real_error", None) or error
             refused = isinstance(cause, ConnectionRefusedError)
@@ -175,34 +178,41 @@
         if observer is not None and not observer.sending():
             stream.close()
             return Failure(CallFailure(FailureKind.NOT_CONNECTED, False, "overtaken"))
-        collector = _Collector(observer, what)
-        kept = False
+        collector = _ReplyCollector(observer, request)
+        reusable = False
         try:
-            async with asyncio.timeout(what.timeout):
-                kept = await self._exchange(stream, what, collector)
-                for _ in range(FOREIGN_REPLIES):
-                    if not collector.foreign or not kept:
+            async with asyncio.timeout(request.timeout):
+                reusable = await self._exchange(stream, request, collector)
+                for _ in range(MAX_SKIPPED_REPLIES):
+                    if not collector.unrelated or not reusable:
                         break
-                    collector = _Collector(observer, what)
-                    reader = HTTP1Connection(stream, True, _params(what))
-                    kept = bool(await reader.read_response(collector))
+                    collector = _ReplyCollector(observer, request)
+                    reader = HTTP1Connection(stream, True, _params(request))
+                    reusable = bool(await reader.read_response(collector))
         except TimeoutError:
-            reason = f"no whole reply in {what.timeout} s"
+            reason = f"no whole reply in {request.timeout} s"
             return Failure(CallFailure(FailureKind.TIMEOUT, True, reason))
         except (OSError, StreamClosedError) as error:
             return Failure(CallFailure(FailureKind.LOST, True, str(error)))
         finally:
-            self._put_back(stream, what, kept and collector.finished, collector.reply_headers)
-        cut = collector.open_ended and stream.error is not None
-        if not collector.finished or not collector.framed or collector.foreign or cut:
+            self._return_to_pool(
+                stream, request, reusable and collector.finished, collector.reply_headers
+            )
+        truncated = collector.close_delimited and stream.error is not None
+        if (
+            not collector.finished
+            or not collector.framing_accepted
+            or collector.unrelated
+            or truncated
+        ):
             return Failure(CallFailure(FailureKind.LOST, True, "the reply was cut"))
         return Success(Reply(collector.status, collector.reply_headers, b"".join(collector.chunks)))
 
     def keeps(self, address: str) -> bool:
-        """Tell whether a connection to an address is kept that a call may well use."""
+        """Return whether the pool has an open connection to an address."""
         now = time.monotonic()
         idle = self._idle_by_address.get(address, ())
-        return any(now < i.until and not i.stream.closed() for i in idle)
+        return any(now < i.expires_at and not i.stream.closed() for i in idle)
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -210,21 +220,21 @@
             self.forget(address)
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to an address whose owner is gone."""
+        """Close the idle connections to an address that is no longer in use."""
         for idle in self._idle_by_address.pop(address, []):
             idle.stream.close()
 
-    async def _connect(self, what: Call) -> IOStream:
-        idle = self._idle_by_address.get(what.address, [])
-        while what.reuse and idle:
+    async def _connect(self, request: Call) -> IOStream:
+        idle = self._idle_by_address.get(request.address, [])
+        while request.reuse and idle:
             found = idle.pop()
             if _usable(found, time.monotonic()):
                 return found.stream
             found.stream.close()
-        host, port = what.address.rsplit(":", 1)
+        host, port = request.address.rsplit(":", 1)
         stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         try:
-            async with asyncio.timeout(what.connect_timeout):
+            async with asyncio.timeout(request.connect_timeout):
                 await stream.connect((host, int(port)))
         except BaseException:
             stream.close()
@@ -233,50 +243,52 @@
         stream.set_nodelay(True)
         return stream
 
-    async def _exchange(self, stream: IOStream, what: Call, collector: _Collector) -> bool:
-        connection = HTTP1Connection(stream, True, _params(what))
-        headers = HTTPHeaders({"Host": what.address})
-        headers.update(what.headers)
-        if what.body or what.method in ("POST", "PUT"):
-            headers["Content-Length"] = str(len(what.body))
-        if not what.reuse:
+    async def _exchange(self, stream: IOStream, request: Call, collector: _ReplyCollector) -> bool:
+        connection = HTTP1Connection(stream, True, _params(request))
+        headers = HTTPHeaders({"Host": request.address})
+        headers.update(request.headers)
+        if request.body or request.method in ("POST", "PUT"):
+            headers["Content-Length"] = str(len(request.body))
+        if not request.reuse:
             headers["Connection"] = "close"
-        start = RequestStartLine(what.method, what.path, "HTTP/1.1")
-        # The write's own future is not awaited: a peer that answers early and closes would turn
-        # its answer into a failed write.
-        connection.write_headers(start, headers, what.body or None)
+        start = RequestStartLine(request.method, request.path, "HTTP/1.1")
+        # The future of the write is not awaited: if a server answers early and closes the
+        # connection, the write fails although the reply is there to be read.
+        connection.write_headers(start, headers, request.body or None)
         connection.finish()
         return bool(await connection.read_response(collector))
 
-    def _put_back(self, stream: IOStream, what: Call, whole: bool, headers: HTTPHeaders) -> None:
-        idle = self._idle_by_address.setdefault(what.address, [])
+    def _return_to_pool(
+        self, stream: IOStream, request: Call, complete: bool, headers: HTTPHeaders
+    ) -> None:
+        idle = self._idle_by_address.setdefault(request.address, [])
         seconds = _idle_seconds(headers)
         if (
-            what.reuse
-            and whole
+            request.reuse
+            and complete
             and not stream.closed()
             and not stream.writing()
-            and len(idle) < IDLE_PER_ADDRESS
+            and len(idle) < MAX_IDLE_PER_ADDRESS
             and seconds > 0
         ):
-            idle.append(_Idle(stream, time.monotonic() + seconds))
+            idle.append(_IdleConnection(stream, time.monotonic() + seconds))
         else:
             stream.close()
 
 
-def _params(what: Call) -> HTTP1ConnectionParameters:
-    return HTTP1ConnectionParameters(max_body_size=what.max_reply)
+def _params(request: Call) -> HTTP1ConnectionParameters:
+    return HTTP1ConnectionParameters(max_body_size=request.max_reply)
 
 
-def _usable(idle: _Idle, now: float) -> bool:
-    """Tell whether an idle connection may take a request.
+def _usable(idle: _IdleConnection, now: float) -> bool:
+    """Return whether an idle connection can be used for a request.
 
-    The other side closes idle connections; a request sent into a closed one is lost, and whether
-    it ran is then unknown. What came while it was idle (an end, or a reply that nobody asked for)
-    shows as readable bytes.
+    Servers close idle connections. If a request is sent on a closed one, whether it ran is unknown.
+    An end of stream or an unsolicited reply that arrived while the connection was idle makes its
+    socket readable.
     """
     stream = idle.stream
-    if stream.closed() or now >= idle.until:
+    if stream.closed() or now >= idle.expires_at:
         return False
     try:
         stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -288,11 +300,11 @@
 
 
 def _idle_seconds(headers: HTTPHeaders) -> float:
-    """Return for how long a connection may be kept after a reply, 0 for not at all."""
+    """Return the seconds for which a connection may stay idle after a reply, 0 to close it."""
     if headers.get("Connection", "").lower() == "close":
         return 0.0
     for part in headers.get("Keep-Alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return max(0.0, int(value) - IDLE_MARGIN)
-    return IDLE_SECONDS
+            return max(0.0, int(value) - IDLE_MARGIN_SECONDS)
+    return DEFAULT_IDLE_SECONDS
--- a/src/oleanderhill/clients/keyed.py
+++ b/src/oleanderhill/clients/keyed.py
@@ -1,4 +1,4 @@
-"""Copies of values that lie in the store, by key."""
+"""Local copies of values in the store, by key."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 Value = TypeVar("Value")
 
 
-def _nothing_outlasts(held: Value, read: Value) -> bool:
-    """Take what was read for newer."""
+def _never_newer(held: Value, read: Value) -> bool:
+    """Treat the value that was read as the newer one."""
     return False
 
 
 class KeyedCopy(Generic[Value]):
-    """Values by key, each at its newest revision, decoded as they come.
+    """Decoded values by key, each at its newest revision.
 
-    What this process has read outlasts a store that is restored from a backup, until somebody
-    writes it again or its time is over.
+    After the store is restored from a backup, values that this process had already read are
+    retained until they are written again or ``lost_last`` has passed.
 
     :param decode: returns a value, or raises ``ValueError`` for one that is malformed
-    :param outlasts: tells whether a value that is held is newer than one that was read of a later
-        generation of the store, which may be of before the held one
-    :param lost_last: seconds for which values are kept that a restored store does not have
+    :param outlasts: returns whether the held value is newer than one read from a later generation
+        of the store, whose backup may predate the held value
+    :param lost_last: seconds for which values missing from a restored store are retained
     """
 
     def __init__(
         self,
         decode: Callable[[bytes], Value],
         records: Records,
-        outlasts: Callable[[Value, Value], bool] = _nothing_outlasts,
+        outlasts: Callable[[Value, Value], bool] = _never_newer,
         lost_last: float = 0.0,
     ) -> None:
         self._decode = decode
@@ -40,43 +40,43 @@
         self._outlasts = outlasts
         self._lost_last = lost_last
         self._restored_at = float("-inf")
-        self._lost_until: dict[str, float] = {}
+        self._missing_until: dict[str, float] = {}
         self._held: dict[str, tuple[Value, Revision]] = {}
         self._value_by_key: dict[str, Value] = {}
         self.changes = 0
 
     def restored(self, now: float) -> None:
-        """Take note that the next content is of a store that was restored from a backup."""
+        """Record that the next content comes from a store that was restored from a backup."""
         self._restored_at = now
 
     def replace(self, items: Sequence[Item], now: float) -> None:
-        """Take the whole content anew."""
+        """Replace the whole content."""
         present = {item.key for item in items}
         missing = [k for k in self._held if k not in present]
         for key in missing:
-            self._miss(key, now)
+            self._retain_missing(key, now)
         for item in items:
             self.put(item.key, item.value, item.revision)
 
     def expire(self, now: float) -> None:
-        """Drop what a restored store did not have and nobody wrote again."""
-        for key in [k for k, until in self._lost_until.items() if now >= until]:
+        """Drop expired values that a restored store lacks and that were not written again."""
+        for key in [k for k, until in self._missing_until.items() if now >= until]:
             self._drop(key)
 
-    def _miss(self, key: str, now: float) -> None:
+    def _retain_missing(self, key: str, now: float) -> None:
         until = self._restored_at + self._lost_last
         if now >= until:
             self._drop(key)
             return
-        self._lost_until[key] = until
+        self._missing_until[key] = until
         self._held[key] = (self._held[key][0], NEVER)
 
     def change(self, key: str, value: bytes | None, revision: Revision, now: float) -> bool:
-        """Take one change; return whether it is news, here or to whoever reads from this host.
+        """Apply one change; return whether it is new to this host or to peers that read from it.
 
-        A write of this host is held from the moment of its answer. The reading that brings it is
-        the first that the others hear of it: counted as known, it would never reach them. Seen as
-        two of six fabric domains whose groups six of eight entry hosts sent no requests to.
+        A write of this host is held as soon as the store answers it, but peers first receive it
+        with the read that returns it. Treated as known, it would never reach them: in one run, six
+        of eight entry hosts sent no requests to the groups of two of six fabric domains.
         """
         del now
         if value is None:
@@ -87,7 +87,7 @@
         return self.put(key, value, revision)
 
     def put(self, key: str, value: bytes, revision: Revision) -> bool:
-        """Take a value unless a newer one is held; return whether it was taken."""
+        """Store a value unless a newer one is held; return whether it was stored."""
         held = self._held.get(key)
         if held is not None and held[1] >= revision:
             return False
@@ -96,13 +96,13 @@
         except ValueError as error:
             self._records.note("store", "malformed", key=key, reason=str(error))
             return False
-        self._lost_until.pop(key, None)
+        self._missing_until.pop(key, None)
         if (
             held is not None
             and held[1].generation < revision.generation
             and self._outlasts(held[0], decoded)
         ):
-            # What is written next must name what the store has.
+            # The next write must be conditional on the store's revision.
             self._held[key] = (held[0], revision)
             return False
         self._held[key] = (decoded, revision)
@@ -116,12 +116,12 @@
 
     @property
     def by_key(self) -> Mapping[str, Value]:
-        """Return the values; ``changes`` rises with each change of them."""
+        """Return the values; ``changes`` is incremented with each change to them."""
         return self._value_by_key
 
     def _drop(self, key: str) -> bool:
-        """Forget a key; return whether it was held."""
-        self._lost_until.pop(key, None)
+        """Remove a key; return whether it was held."""
+        self._missing_until.pop(key, None)
         if self._held.pop(key, None) is None:
             return False
         del self._value_by_key[key]
--- a/src/oleanderhill/clients/listening.py
+++ b/src/oleanderhill/clients/listening.py
@@ -1,4 +1,4 @@
-"""Whether anybody listens at an address: how a target that ended is told from a lost connection."""
+"""Connection checks that distinguish a crashed target from a lost connection."""
 
 from __future__ import annotations
 
@@ -6,42 +6,41 @@
 import contextlib
 from enum import StrEnum
 
-LOOK_TIMEOUT = 0.4
-"""Seconds for a connection; a host that is there answers or refuses within a few ms."""
-
+CONNECT_TIMEOUT = 0.4
+"""Seconds to connect; a reachable host accepts or refuses within a few ms."""
 
 LOOK_AFTER = (0.05, 0.35)
-"""Seconds before each look at a target whose connections were lost: a process may close them some
-time before it ends. Each look is a new connection there, and has its price."""
+"""Delays in seconds of the checks of a target whose connections were lost: a process may close
+them some time before it exits. Each check costs the target a new connection."""
 
 
 class Listening(StrEnum):
-    """What a look at a target shows."""
+    """The result of a connection check of a target."""
 
     THE_SAME = "the same"
-    """The target itself answered, in the life it had."""
+    """The target itself answered, in the same incarnation."""
 
     ACCEPTED = "accepted"
-    """Somebody listens: the target, or who has its address now."""
+    """A process listens: the target, or another one that now has its address."""
 
     REFUSED = "refused"
-    """The host is there, and nobody listens."""
+    """The host is reachable, and nothing listens at the port."""
 
     SILENT = "silent"
-    """No answer: the host is off or can't be reached."""
+    """No answer: the host is down or unreachable."""
 
 
 async def listening(address: str) -> Listening:
-    """Try to connect to ``ip:port``, send nothing, and return what came of it."""
+    """Connect to ``ip:port`` without sending anything, and return the result."""
     host, port = address.rsplit(":", 1)
     try:
-        async with asyncio.timeout(LOOK_TIMEOUT):
+        async with asyncio.timeout(CONNECT_TIMEOUT):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return Listening.REFUSED
     except (OSError, TimeoutError):
         return Listening.SILENT
     writer.close()
-    with contextlib.suppress(OSError):  # it answered, which was all that was asked
+    with contextlib.suppress(OSError):  # the accepted connection is enough
         await writer.wait_closed()
     return Listening.ACCEPTED
--- a/src/oleanderhill/clients/mirror.py
+++ b/src/oleanderhill/clients/mirror.py
@@ -1,9 +1,9 @@
-"""Keeps this process's copy of what the store holds, and the proof of how current it is.
+"""Maintains the local copy of the store's content and its freshness.
 
-One reading serves everything: configuration, target hosts, plans, presence. Target hosts write
-about once a second each, so a waiting watch would return at once, again and again; instead the
-changes are collected and read every :data:`PERIOD`. In each data centre one entry host reads the
-store and tells the others (:mod:`.relay`); each of them falls back on the store by itself.
+One read covers configuration, target hosts, plans and presence. Each target host writes about once
+a second, so a blocking watch would return almost immediately every time; instead, the accumulated
+changes are read every :data:`POLL_INTERVAL`. In each data centre one entry host reads the store and
+relays the content to the others (:mod:`.relay`), which read the store themselves if that fails.
 """
 
 from __future__ import annotations
@@ -24,36 +24,37 @@
 from .readings import Reading, Source, Sources
 from .storage import Change, Item, Revision
 
-PERIOD = 0.65
-"""Seconds between two readings. A configuration must be in force 2 s after its write: with two
-readings lost and the way there and back, this leaves a margin. Each reading is priced."""
+POLL_INTERVAL = 0.65
+"""Seconds between two reads. A configuration must be in force 2 s after its write; this allows for
+two lost reads and the round trip, with a margin. Each read is billed."""
 
-HURRIED_PERIOD = 0.25
-"""Seconds between two readings while something is under way, such as a group that forms: each step
-of it shows in the store, and a group serves that much sooner."""
+FAST_POLL_INTERVAL = 0.25
+"""Seconds between two reads while changes are in progress. A group forms in steps that go through
+the store, so faster reads let it serve sooner."""
 
-HURRY_LASTS = 0.65
-"""Seconds of quick readings after the latest change that means something. With 2 s, two runs of a
-day of steady losses made 720 and 744 calls in place of 663 to 692, and earned no more."""
+FAST_POLL_DURATION = 0.65
+"""Seconds of fast reads after the latest significant change. With 2 s, two runs of a day of steady
+losses made 720 and 744 calls instead of 663 to 692, without earning more."""
 
-RETRY = 0.3
-"""Seconds before a failed reading is repeated, at most; half of it at least."""
+RETRY_INTERVAL = 0.3
+"""Maximum seconds before a failed read is retried; the minimum is half of it."""
 
-STALE = 2.5
-"""Age in seconds from which on the copy is no base for orders to hosts."""
+MAX_AGE_FOR_ORDERS = 2.5
+"""Maximum age in seconds of a copy on which orders to hosts may be based."""
 
-SHORTEST_PAUSE = 0.02
-"""Seconds between two readings from a peer, which answers when it has news or has read again."""
+MIN_PEER_PAUSE = 0.02
+"""Seconds between two reads from a peer, which answers once it has changes or has read again."""
 
 
 class Follower(NamedTuple):
-    """Who is told of keys under a prefix.
+    """The callbacks for keys under a prefix.
 
-    :param replace: takes the whole content anew, with the time of reading
-    :param change: takes one change, with the time of reading; returns whether it meant anything
-    :param restored: called before ``replace`` takes content that is older than what is held, as the
+    :param replace: replaces the whole content, with the time of the read
+    :param change: applies one change, with the time of the read; returns whether it was significant
+    :param restored: called before ``replace`` receives content older than what is held, because the
         store was restored from a backup
-    :param kept: returns what is held that the store has lost, for those who read from this host
+    :param kept: returns retained entries that the store has lost, for peers that read from this
+        host
     """
 
     prefix: str
@@ -64,30 +65,32 @@
 
 
 class Restorable(Protocol):
-    """Keeps a part of the store's content."""
+    """A local copy of a part of the store's content."""
 
     def replace(self, items: Sequence[Item], now: float) -> None:
-        """Take the whole content anew."""
+        """Replace the whole content."""
 
     def change(self, key: str, value: bytes | None, revision: Revision, now: float) -> bool:
-        """Take one change; return whether it meant anything."""
+        """Apply one change; return whether it was significant."""
 
     def restored(self, now: float) -> None:
-        """Take note that the next content is of a store that was restored from a backup."""
+        """Record that the next content comes from a store that was restored from a backup."""
 
 
 def follow(prefix: str, copy: Restorable) -> Follower:
-    """Return the follower that keeps a copy."""
+    """Return the callbacks that maintain a copy."""
     return Follower(prefix, copy.replace, copy.change, copy.restored)
 
 
 class Mirror(Task):
-    """Owns the readings.
-
-    :param settled: called once after each reading, with the time of reading
-    :ivar restored: times that the store was restored from a backup
-    :param doubted: called before a reading is taken whose missing entries may come back, with the
-        time until which they may
+    """Reads the store or a peer periodically and passes the changes to the callbacks.
+
+    :param on_applied: called once after each read is applied, with the current time
+    :param on_uncertain: called before a read is applied whose missing entries may reappear, with
+        the time until which they may
+    :param entry_return: seconds within which hosts write their entries again after an outage or a
+        restore of the store
+    :ivar restored: number of times that the store was restored from a backup
     """
 
     name = "mirror"
@@ -98,8 +101,8 @@
         sources: Sources,
         currency: Currency,
         followers: Sequence[Follower],
-        settled: Callable[[float], None],
-        doubted: Callable[[float], None],
+        on_applied: Callable[[float], None],
+        on_uncertain: Callable[[float], None],
         entry_return: float,
         records: Records,
         rng: random.Random,
@@ -108,55 +111,55 @@
         self._sources = sources
         self._currency = currency
         self._followers = followers
-        self._settled = settled
-        self._doubted = doubted
+        self._on_applied = on_applied
+        self._on_uncertain = on_uncertain
         self._entry_return = entry_return
         self._records = records
         self._rng = rng
         self.log = ChangeLog()
         self._read_at = float("-inf")
-        self._doubt_until = float("-inf")
-        self._settled_from = float("-inf")
+        self._uncertain_until = float("-inf")
+        self._trusted_from = float("-inf")
         self._connected = False
         self._source = ""
-        self._was_lost = False
+        self._was_disconnected = False
         self.connected_since = float("inf")
         self.restored = 0
-        self._hurry_until = float("-inf")
-        self._done = asyncio.Event()
+        self._fast_poll_until = float("-inf")
+        self._read_applied = asyncio.Event()
 
     async def start(self) -> None:
-        """Start to read."""
-        self.spawn(self._follow())
+        """Start reading."""
+        self.spawn(self._read_loop())
 
     def age(self, now: float) -> float:
         """Return the age of the copy, in seconds."""
         return now - self._read_at
 
     def fresh(self, now: float) -> bool:
-        """Tell whether the copy is young enough to give orders by."""
-        return self.age(now) <= STALE
+        """Return whether the copy is recent enough to base orders on."""
+        return self.age(now) <= MAX_AGE_FOR_ORDERS
 
-    async def news(self, after: Revision | None, patience: float) -> Reading | None:
-        """Return what a peer lacks, as soon as there is something or this host has read again.
+    async def wait_for_changes(self, after: Revision | None, max_wait: float) -> Reading | None:
+        """Return the changes that a peer lacks, once there are some or this host has read again.
 
-        :param after: the revision that the peer has, ``None`` for nothing at all
-        :return: ``None`` if nothing was read or proved within ``patience`` seconds, or the changes
-            are gone
+        :param after: the revision that the peer has, ``None`` if it has no content
+        :return: ``None`` if nothing was read or verified within ``max_wait`` seconds, or if the
+            changes are no longer retained
         """
-        if self._may_wait(after):
+        if self._has_no_changes_for(after):
             try:
-                async with asyncio.timeout(patience):
-                    await self._done.wait()
+                async with asyncio.timeout(max_wait):
+                    await self._read_applied.wait()
             except TimeoutError:
-                # A store that is about to drop its history holds up each reading for a second. The
-                # peers need not ask it too while it says that the configuration is unchanged.
-                if self._currency.age(awake_or_not()) > patience:
+                # A store that is about to drop its history delays each read by a second. While its
+                # freshness checks succeed, the peers need not read it too.
+                if self._currency.age(awake_or_not()) > max_wait:
                     return None
-        return self._reading_for(after)
+        return self._reading_after(after)
 
-    def _may_wait(self, after: Revision | None) -> bool:
-        """Tell whether there is nothing to tell a peer yet."""
+    def _has_no_changes_for(self, after: Revision | None) -> bool:
+        """Return whether there are no changes to send to a peer yet."""
         if self.log.revision is None or after is None:
             return self.log.revision is None
         if after.generation > self.log.revision.generation:
@@ -164,38 +167,40 @@
         changes = self.log.since(after)
         return changes is not None and not changes
 
-    def _reading_for(self, after: Revision | None) -> Reading | None:
+    def _reading_after(self, after: Revision | None) -> Reading | None:
         revision = self.log.revision
         if revision is None or (after is not None and after.generation > revision.generation):
             return None
-        # Whoever has read another generation lacks everything, also what was not changed since.
-        whole = after is None or after.generation < revision.generation
-        changes = self.log.content() if after is None or whole else self.log.since(after)
+        # A peer at an earlier generation needs the whole content, unchanged entries included.
+        full = after is None or after.generation < revision.generation
+        changes = self.log.content() if after is None or full else self.log.since(after)
         if changes is None:
             return None
         proved_at = self._currency.proved_at
         now = awake_or_not()
-        doubt, settling = (max(0.0, t - now) for t in (self._doubt_until, self._settled_from))
-        return Reading(revision, whole, changes, proved_at, self._read_at, doubt, settling)
+        uncertain_s, settle_s = (
+            max(0.0, t - now) for t in (self._uncertain_until, self._trusted_from)
+        )
+        return Reading(revision, full, changes, proved_at, self._read_at, uncertain_s, settle_s)
 
-    async def _follow(self) -> None:
+    async def _read_loop(self) -> None:
         while True:
             began = awake_or_not()
             source, error = await self._read()
             now = awake_or_not()
             if error is not None:
                 self._disconnect(error)
-                wait = RETRY * (0.5 + 0.5 * self._rng.random())
+                wait = RETRY_INTERVAL * (0.5 + 0.5 * self._rng.random())
             elif source == "store":
-                period = HURRIED_PERIOD if now < self._hurry_until else PERIOD
+                period = FAST_POLL_INTERVAL if now < self._fast_poll_until else POLL_INTERVAL
                 wait = max(0.05, period - (now - began))
             else:
-                wait = SHORTEST_PAUSE
+                wait = MIN_PEER_PAUSE
             await asyncio.sleep(wait)
 
     async def _read(self) -> tuple[str, StoreError | None]:
-        """Read from the first source that answers; return its name, or why the last one failed."""
-        error: StoreError = StoreUnavailableError("all sources are left alone for a moment")
+        """Read from the first source that answers; return its name or the last error."""
+        error: StoreError = StoreUnavailableError("all sources are in back-off")
         tried: set[str] = set()
         while (source := await self._next_source(tried)) is not None:
             tried.add(source.name)
@@ -217,26 +222,26 @@
         now = awake_or_not()
         held = self.log.revision
         if held is not None and found.revision.generation < held.generation:
-            return  # it was on its way while the store was restored from a backup
-        if found.doubt > 0:
-            self._doubt(now + found.doubt)
+            return  # read before the store was restored from a backup
+        if found.uncertain_s > 0:
+            self._mark_uncertain(now + found.uncertain_s)
         if held is not None and found.revision.generation > held.generation:
-            self._restored(held, found, now)
-        if found.whole:
+            self._begin_generation(held, found, now)
+        if found.full:
             self._replace(found, now)
         else:
-            meant = [c for c in found.changes if self._change(c, now)]
-            self.log.take(found.revision, meant)
-            if meant:
-                self._hurry_until = now + HURRY_LASTS
+            significant = [c for c in found.changes if self._change(c, now)]
+            self.log.apply(found.revision, significant)
+            if significant:
+                self._fast_poll_until = now + FAST_POLL_DURATION
         self._read_at = max(self._read_at, found.read_at)
         self._currency.prove(found.proved_at)
-        self._settled(now)
-        self._done.set()
-        self._done.clear()
+        self._on_applied(now)
+        self._read_applied.set()
+        self._read_applied.clear()
 
-    def _restored(self, held: Revision, found: Reading, now: float) -> None:
-        """Take note that what is read next is older than what is held."""
+    def _begin_generation(self, held: Revision, found: Reading, now: float) -> None:
+        """Prepare for content of a restored store, which is older than the held content."""
         self._records.note(
             "dependency",
             "generation began",
@@ -249,9 +254,9 @@
         )
         self.restored += 1
         self.connected_since = now
-        self._settled_from = now + found.settling
-        self._currency.distrust(self._settled_from)
-        self._doubt(now + self._entry_return)
+        self._trusted_from = now + found.settle_s
+        self._currency.distrust(self._trusted_from)
+        self._mark_uncertain(now + self._entry_return)
         for follower in self._followers:
             follower.restored(now)
 
@@ -277,14 +282,14 @@
     def _follower_of(self, key: str) -> Follower | None:
         return next((f for f in self._followers if key.startswith(f.prefix)), None)
 
-    def _doubt(self, until: float) -> None:
-        self._doubt_until = max(self._doubt_until, until)
-        self._doubted(self._doubt_until)
+    def _mark_uncertain(self, until: float) -> None:
+        self._uncertain_until = max(self._uncertain_until, until)
+        self._on_uncertain(self._uncertain_until)
 
     def _connect(self, source: Source, began: float) -> None:
         if self._connected:
             if source.name != self._source:
-                self._note_source(source)
+                self._log_source_change(source)
             return
         self._source = source.name
         self._connected = True
@@ -296,11 +301,11 @@
             source=source.name,
             after=self.log.revision,
         )
-        if self._was_lost:
-            self._doubt(awake_or_not() + self._entry_return)
+        if self._was_disconnected:
+            self._mark_uncertain(awake_or_not() + self._entry_return)
 
-    def _note_source(self, source: Source) -> None:
-        """Say that the content comes from elsewhere now: the source before had no answer."""
+    def _log_source_change(self, source: Source) -> None:
+        """Log that another source is used, as the previous one did not answer."""
         self._records.note(
             "dependency",
             "source changed",
@@ -316,7 +321,7 @@
         if not self._connected:
             return
         self._connected = False
-        self._was_lost = True
+        self._was_disconnected = True
         self.connected_since = float("inf")
         age = round(self.age(awake_or_not()), 2)
         self._records.note("dependency", "lost", dependency="store", reason=str(error), age_s=age)
--- a/src/oleanderhill/clients/packing.py
+++ b/src/oleanderhill/clients/packing.py
@@ -1,4 +1,4 @@
-"""Bytes on their way between entry hosts, compressed where that gains something."""
+"""Optional compression of messages between entry hosts."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 PLAIN = b"P"
 COMPRESSED = b"Z"
-COMPRESS_OVER = 400
-"""Bytes over which data is compressed; below, little is won."""
+COMPRESSION_THRESHOLD = 400
+"""Bytes above which data is compressed; smaller messages gain little."""
 
-LEVEL = 1
-"""Effort of the compression, the least: it takes processor time of the host that all ask."""
+COMPRESSION_LEVEL = 1
+"""The fastest zlib level: compression uses CPU time of the host that all peers ask."""
 
-LONGEST = 4 * 1024 * 1024
-"""Bytes of a message at most, however small it was made on its way."""
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
+"""Maximum size of a decompressed message."""
 
 
 def shrink(data: bytes) -> bytes:
-    """Return bytes as they travel."""
-    if len(data) <= COMPRESS_OVER:
+    """Return data as it is sent, compressed if it is large enough."""
+    if len(data) <= COMPRESSION_THRESHOLD:
         return PLAIN + data
-    return COMPRESSED + zlib.compress(data, LEVEL)
+    return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def grow(data: bytes) -> bytes:
-    """Return the bytes that :func:`shrink` took.
+    """Return the original data of a message made by :func:`shrink`.
 
-    :raises msgspec.DecodeError: if they are malformed
+    :raises msgspec.DecodeError: if the message is malformed
     """
-    mark, rest = data[:1], data[1:]
-    if mark == PLAIN:
+    marker, rest = data[:1], data[1:]
+    if marker == PLAIN:
         return rest
-    if mark != COMPRESSED:
-        raise msgspec.DecodeError("unknown first byte")
+    if marker != COMPRESSED:
+        raise msgspec.DecodeError("unknown compression marker")
     try:
-        return zlib.decompressobj().decompress(rest, LONGEST)
+        return zlib.decompressobj().decompress(rest, MAX_MESSAGE_BYTES)
     except zlib.error as error:
         raise msgspec.DecodeError(str(error)) from error
--- a/src/oleanderhill/clients/readings.py
+++ b/src/oleanderhill/clients/readings.py
@@ -1,4 +1,4 @@
-"""Readings of the store's content: what was read, how current it is proved to be, and from whom."""
+"""Reads of the store's content: the result, its freshness, and the sources to read from."""
 
 from __future__ import annotations
 
@@ -14,72 +14,72 @@
 from ..records import Records
 from .storage import Change, Changes, GenerationEndedError, HistoryLostError, Revision, Storage
 
-DEAF = 1.3
-"""Seconds of changes that a reading may miss: before it drops its history the store may tell
-watchers nothing for a second. Proof of currency is dated back by this much, unless the store said
-itself that the configuration is unchanged."""
+MISSED_CHANGES_WINDOW = 1.3
+"""Seconds of changes that a read may miss: before it drops its history, the store may send watchers
+nothing for a second. The time at which a read verifies its content is set back by this, unless a
+freshness check showed that the configuration is unchanged."""
 
-CHECK_EVERY = 0.6
-"""Seconds between two such checks at least: each is a call, and has its price."""
+CHECK_INTERVAL = 0.6
+"""Minimum seconds between two freshness checks, each of which is a billed call."""
 
-SILENT_AFTER = 0.3
-"""Seconds that a reading has left once a check shows that there is something to read: a store that
-tells watchers anything answers in a few ms, or waits 0.2 s for news."""
+WATCH_GRACE_PERIOD = 0.3
+"""Seconds that a watch may still take after a freshness check found a change: a store whose watches
+work answers within a few ms, or after waiting 0.2 s for changes."""
 
+RESTORE_SETTLE_TIME = 1.0
+"""Seconds after a restore of the store from a backup in which its content isn't trusted as the
+newest: operators' writes since the backup are repeated in this time, and until then a removed key
+may be present again."""
 
-RESTORED_SETTLES = 1.0
-"""Seconds after the store was restored from a backup in which it proves nothing: what operators
-wrote since is written again meanwhile, and until then a key that was taken away is in it."""
-
-_PROVED = "unchanged"
+_UNCHANGED = "unchanged"
 _CHANGED = "the store holds another revision"
 
 
 class Reading(NamedTuple):
-    """What a source told.
+    """The result of a read.
 
-    :param revision: the store's, up to which the changes are complete
-    :param whole: the changes are the whole content, not what is new since the last reading
-    :param proved_at: time at which this content is proved to have been the newest
+    :param revision: the store's revision up to which the changes are complete
+    :param full: the changes are the whole content, not only those since the last read
+    :param proved_at: time at which this content was verified to be the newest
     :param read_at: time at which the store was asked
-    :param doubt: seconds for which entries that are missing may yet come back
-    :param settling: seconds in which a store whose generation has just begun proves nothing
+    :param uncertain_s: seconds for which missing entries may still reappear
+    :param settle_s: seconds after the start of a generation in which freshness checks are ignored
     """
 
     revision: Revision
-    whole: bool
+    full: bool
     changes: Sequence[Change]
     proved_at: float
     read_at: float
-    doubt: float = 0.0
-    settling: float = RESTORED_SETTLES
+    uncertain_s: float = 0.0
+    settle_s: float = RESTORE_SETTLE_TIME
 
 
 class Source(Protocol):
-    """Where the content can be read: the store, or an entry host that read it."""
+    """A source of the content: the store, or an entry host that has read it."""
 
     name: str
 
     async def read(self, after: Revision | None, began: float) -> Result[Reading, StoreError]:
-        """Read what changed after a revision, or the whole content for ``None``."""
+        """Read the changes after a revision, or the whole content for ``None``."""
 
 
 class Sources(Protocol):
-    """Chooses where to read."""
+    """Selects the sources to read from."""
 
     async def in_order(self, now: float) -> Sequence[Source]:
-        """Return the sources to try, the first one first."""
+        """Return the sources to try, in order of preference."""
 
     def failed(self, source: Source, error: StoreError, now: float) -> None:
-        """Take note that a source had no answer."""
+        """Record that a read from a source failed."""
 
 
 class StoreSource:
-    """Reads the store itself.
+    """Reads directly from the store.
 
-    :param prefixes: of the keys that are read when the whole content is
-    :param held: returns the revisions held of the keys whose currency is proved, by key
-    :param prove: takes the time at which what is held was the newest
+    :param prefixes: key prefixes that make up the whole content
+    :param held: returns the held revisions, by key, of the keys whose freshness is checked
+    :param prove: called with the time at which the held revisions were verified to be the newest
     """
 
     name = "store"
@@ -97,18 +97,18 @@
         self._held = held
         self._prove = prove
         self._records = records
-        self._last_check = _PROVED
+        self._last_check = _UNCHANGED
         self._checked_at = float("-inf")
         self._checks: set[asyncio.Task[None]] = set()
         self._changed = asyncio.Event()
         self.checks = False
-        """Whether readings are accompanied by checks. Who reads for all does it for all; the
-        others, who read while that one is away, would double the calls of a fleet."""
+        """Whether freshness checks run during reads. Only the main reader, which reads for all,
+        runs them; if the others did while it is unavailable, the fleet's calls would double."""
 
     async def read(self, after: Revision | None, began: float) -> Result[Reading, StoreError]:
-        """Read what changed, or everything where the store no longer has the changes."""
+        """Read the changes, or the whole content if the store no longer has the changes."""
         if after is None:
-            return await self._read_whole(began)
+            return await self._read_full(began)
         self._changed.clear()
         checking = asyncio.create_task(self._keep_checking())
         try:
@@ -120,70 +120,76 @@
         found = await self._told(after)
         if found is None:
             self._records.note("dependency", "watch given up", reason=_CHANGED, after=after)
-            # The configuration has changed and the watch tells nothing: its history is about to be
-            # dropped. Each host looked for itself when its proof ran out, and read all of it.
-            return await self._read_whole(awake_or_not())
+            # The configuration has changed but the watch returns nothing: the store is about to
+            # drop its history. Without this read, the freshness check of every host would expire
+            # and each would read the whole content itself.
+            return await self._read_full(awake_or_not())
         if not is_successful(found) and isinstance(found.failure(), StoreCutError):
-            # A store that drops its history cuts its watchers, and says so when asked again. The
-            # readers elsewhere know no more: waiting for them, all hosts were without a reading
-            # until after their proof ran out, and refused their callers.
+            # A store that drops its history closes its watches, and reports the lost history on the
+            # next call. Other readers have no newer content: if this one waited for them, all
+            # hosts would get no read until their freshness check expired, and would reject
+            # requests.
             found = await self._storage.changes(after)
         if is_successful(found):
-            news = found.unwrap()
-            return Success(Reading(news.revision, False, news.changes, began - DEAF, began))
+            update = found.unwrap()
+            return Success(
+                Reading(
+                    update.revision, False, update.changes, began - MISSED_CHANGES_WINDOW, began
+                )
+            )
         if isinstance(found.failure(), HistoryLostError):
-            return await self._read_whole(began)
+            return await self._read_full(began)
         return Failure(found.failure())
 
     async def _told(self, after: Revision) -> Result[Changes, StoreError] | None:
-        """Return what the watch tells, ``None`` if it tells nothing though there is news."""
-        asked = asyncio.ensure_future(self._storage.changes(after))
+        """Return the result of the watch, ``None`` if it returns nothing despite a change."""
+        watch = asyncio.ensure_future(self._storage.changes(after))
         changed = asyncio.ensure_future(self._changed.wait())
         try:
-            await asyncio.wait({asked, changed}, return_when=asyncio.FIRST_COMPLETED)
-            if not asked.done():
-                await asyncio.wait({asked}, timeout=SILENT_AFTER)
-            return asked.result() if asked.done() else None
+            await asyncio.wait({watch, changed}, return_when=asyncio.FIRST_COMPLETED)
+            if not watch.done():
+                await asyncio.wait({watch}, timeout=WATCH_GRACE_PERIOD)
+            return watch.result() if watch.done() else None
         finally:
-            asked.cancel()
+            watch.cancel()
             changed.cancel()
 
     async def _keep_checking(self) -> None:
-        """Ask the store, beside a reading, whether the configuration is the one that is held.
+        """Check periodically during a read whether the store still has the held configuration.
 
-        A store that is about to drop its history tells watchers nothing, so a reading alone proves
-        no more than what held a second before. That second is missing when the store is lost: keys
-        must not be used once the proof is too old, and callers are refused that much sooner. While
-        the reading hangs, the checks go on: without a young proof all peers would ask the store.
+        A store that is about to drop its history sends watchers nothing, so a read alone verifies
+        the content only as of a second earlier. If the store then becomes unreachable, keys would
+        be rejected that much sooner. The checks continue while the read hangs: without a recent
+        check all peers would read the store themselves.
         """
         while self.checks and (held := self._held()):
             now = awake_or_not()
-            if now - self._checked_at >= CHECK_EVERY:
+            if now - self._checked_at >= CHECK_INTERVAL:
                 self._checked_at = now
-                # It outlives the reading, which is mostly answered as soon as the check is.
+                # The check runs in its own task, as the read often ends at about the same time.
                 check = asyncio.create_task(self._check(held, now))
                 self._checks.add(check)
                 check.add_done_callback(self._checks.discard)
-            await asyncio.sleep(CHECK_EVERY)
+            await asyncio.sleep(CHECK_INTERVAL)
 
     async def _check(self, held: Mapping[str, Revision], began: float) -> None:
-        # One that fails or comes late proves less, and the next one follows soon.
+        # A failed or late check needs no handling: the next one follows soon.
         found = await self._storage.unchanged(held)
         unchanged = found.value_or(None)
         if unchanged:
             self._prove(began)
         elif unchanged is False:
             self._changed.set()
-        outcome = _PROVED if unchanged else _CHANGED if is_successful(found) else found.failure()
-        self._note_check(str(outcome), held)
+        outcome = _UNCHANGED if unchanged else _CHANGED if is_successful(found) else found.failure()
+        self._log_check(str(outcome), held)
 
-    def _note_check(self, outcome: str, held: Mapping[str, Revision]) -> None:
-        """Write down what a check showed where it is not what the last one did."""
+    def _log_check(self, outcome: str, held: Mapping[str, Revision]) -> None:
+        """Log the outcome of a check if it differs from the previous one."""
         if outcome != self._last_check:
             self._last_check = outcome
             self._records.note("dependency", "checked", outcome=outcome, held=dict(held))
 
-    async def _read_whole(self, began: float) -> Result[Reading, StoreError]:
+    async def _read_full(self, began: float) -> Result[Reading, StoreError]:
         items: list[Change] = []
         revisions: list[Revision] = []
         for prefix in self._prefixes:
@@ -195,5 +201,5 @@
             items += [Change(i.key, i.value, i.revision) for i in listing.items]
         if len({r.generation for r in revisions}) > 1:
             return Failure(GenerationEndedError())
-        # The listings are not one snapshot; whatever changed after the oldest comes again.
+        # The listings are not one snapshot: changes after the oldest one are read again.
         return Success(Reading(min(revisions), True, items, began, began))
--- a/src/oleanderhill/clients/relay.py
+++ b/src/oleanderhill/clients/relay.py
@@ -1,9 +1,9 @@
-"""Readings of the store passed on among entry hosts over HTTP.
+"""Relays reads of the store between entry hosts over HTTP.
 
-A peer asks with the revision that it has and gets what it lacks as soon as there is something, or
-once this host has read the store again. No clock is compared: the answer says how old the proof
-is, and the asker counts that age back from the moment at which it asked, so that no delay on the
-way makes a proof look younger than it is.
+A peer sends the revision that it has. The reply has the changes after it, and is sent once there
+are some or this host has read the store again. Clocks of hosts are not compared: the reply has the
+age of the last freshness check, and the peer subtracts that age from the time at which it sent its
+request, so that no network delay makes a check look more recent than it is.
 """
 
 from __future__ import annotations
@@ -29,51 +29,51 @@
 from ..exceptions import NoReadingError, StoreError, StoreUnavailableError
 from ..kernel import Kernel, Task
 from .httpcall import Call, HttpCaller
-from .mirror import PERIOD, Mirror
+from .mirror import POLL_INTERVAL, Mirror
 from .packing import grow, shrink
 from .readings import Reading
 from .storage import NEVER, Change, Revision
 
-HOLD = PERIOD + 0.2
-"""Seconds for which a question waits for news: one reading of the store and a slow answer."""
+MAX_WAIT = POLL_INTERVAL + 0.2
+"""Seconds for which a request waits for changes: one read of the store and a slow answer."""
 
-ANSWER_TIMEOUT = HOLD + 0.25
-"""Seconds for an answer; after that the asker reads the store itself. A change must be in force
-2 s after its write, and this leaves 0.9 s for that reading."""
+REPLY_TIMEOUT = MAX_WAIT + 0.25
+"""Seconds that a peer waits for a reply before it reads the store itself. A change must be in force
+2 s after its write, and this leaves 0.9 s for that read."""
 
 CONNECT_TIMEOUT = 0.25
-"""Seconds to connect to a peer of the same data centre, which takes a millisecond or is dead."""
+"""Seconds to connect to a peer of the same data centre; a live one accepts in a millisecond."""
 
 IDLE_TIMEOUT = 30.0
-"""Seconds for which a peer's idle connection is kept; it asks again at once."""
+"""Seconds for which a peer's idle connection stays open; a live peer asks again immediately."""
 
 
-class Passage(NamedTuple):
-    """A reading on its way: ages in place of times, as clocks differ.
+class EncodedReading(NamedTuple):
+    """A read as sent to a peer, with ages instead of times, as clocks of hosts differ.
 
-    :param changes: encoded and shrunk: all peers that lack the same get the same bytes
-    :param proof_age: seconds since the content was proved to be the newest
+    :param changes: encoded and compressed; peers at the same revision get the same bytes
+    :param check_age: seconds since the content was verified to be the newest
     :param read_age: seconds since the store was asked
-    :param doubt: seconds for which entries that are missing may yet come back
-    :param settling: seconds in which a store whose generation has just begun proves nothing
+    :param uncertain_s: seconds for which missing entries may still reappear
+    :param settle_s: seconds after the start of a generation in which freshness checks are ignored
     """
 
     revision: Revision
-    whole: bool
+    full: bool
     changes: bytes
-    proof_age: float
+    check_age: float
     read_age: float
-    doubt: float
-    settling: float
+    uncertain_s: float
+    settle_s: float
 
 
-_DECODER = msgspec.msgpack.Decoder(Passage)
+_DECODER = msgspec.msgpack.Decoder(EncodedReading)
 _CHANGES_DECODER = msgspec.msgpack.Decoder(list[Change])
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 class PeerSource:
-    """Reads what another entry host read.
+    """Reads the content from another entry host.
 
     :param address: ``ip:port`` of its :class:`RelayServer`
     """
@@ -84,7 +84,7 @@
         self._caller = caller
 
     async def read(self, after: Revision | None, began: float) -> Result[Reading, StoreError]:
-        """Ask the peer for what changed after a revision."""
+        """Read the changes after a revision from the peer."""
         query = (
             ""
             if after is None
@@ -94,7 +94,7 @@
             self._address,
             "GET",
             f"/readings{query}",
-            timeout=ANSWER_TIMEOUT,
+            timeout=REPLY_TIMEOUT,
             reuse=True,
             connect_timeout=CONNECT_TIMEOUT,
         )
@@ -107,30 +107,30 @@
         if reply.status != 200:
             return Failure(StoreUnavailableError(f"{self.name}: status {reply.status}"))
         try:
-            passage = _DECODER.decode(reply.body)
-            changes = _CHANGES_DECODER.decode(grow(passage.changes))
+            encoded = _DECODER.decode(reply.body)
+            changes = _CHANGES_DECODER.decode(grow(encoded.changes))
         except msgspec.DecodeError as error:
             return Failure(StoreUnavailableError(f"{self.name}: malformed reading: {error}"))
-        if after is not None and passage.revision.generation < after.generation:
-            # What it proves, it proves of content that the store no longer has.
+        if after is not None and encoded.revision.generation < after.generation:
+            # Its freshness check applies to content that the store no longer has.
             return Failure(NoReadingError(self.name))
-        if after is not None and passage.revision < after:
-            # The peer is behind. What it proves holds for the newer content held here too.
-            passage, changes = passage._replace(revision=after), []
+        if after is not None and encoded.revision < after:
+            # The peer is behind. Its freshness check also holds for the newer content of this host.
+            encoded, changes = encoded._replace(revision=after), []
         return Success(
             Reading(
-                passage.revision,
-                passage.whole,
+                encoded.revision,
+                encoded.full,
                 changes,
-                began - passage.proof_age,
-                began - passage.read_age,
-                passage.doubt,
-                passage.settling,
+                began - encoded.check_age,
+                began - encoded.read_age,
+                encoded.uncertain_s,
+                encoded.settle_s,
             )
         )
 
 
-class _Question(HTTPMessageDelegate):
+class _RequestDelegate(HTTPMessageDelegate):
     def __init__(self, server: RelayServer, connection: HTTPConnection) -> None:
         self._server = server
         self._connection = connection
@@ -146,18 +146,18 @@
         self._server.spawn(self._server.answer(self._path, self._connection))
 
 
-class _Questions(HTTPServerConnectionDelegate):
+class _ConnectionDelegate(HTTPServerConnectionDelegate):
     def __init__(self, server: RelayServer) -> None:
         self._server = server
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        return _Question(self._server, request_conn)
+        return _RequestDelegate(self._server, request_conn)
 
 
 class RelayServer(Task):
-    """Owns the server at which peers ask for readings.
+    """HTTP server from which peers read the content.
 
     :param address: ``ip:port``
     """
@@ -168,11 +168,11 @@
         super().__init__(kernel)
         self._address = address
         self._mirror = mirror
-        self._packed: tuple[Revision, dict[Revision | None, bytes]] = (NEVER, {})
-        self._http = HTTPServer(_Questions(self), idle_connection_timeout=IDLE_TIMEOUT)
+        self._encoded_changes: tuple[Revision, dict[Revision | None, bytes]] = (NEVER, {})
+        self._http = HTTPServer(_ConnectionDelegate(self), idle_connection_timeout=IDLE_TIMEOUT)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         ip, port = self._address.rsplit(":", 1)
         self._http.listen(int(port), ip)
 
@@ -183,48 +183,49 @@
         await super().stop()
 
     async def answer(self, path: str, connection: HTTPConnection) -> None:
-        """Answer one question: 200 with a reading, 400, or 503 where this host has none to give."""
+        """Answer a request: 200 with a read, 400 if malformed, 503 if there is none to return."""
         query = parse_qs(urlsplit(path).query)
         after, generation = query.get("after", [""])[0], query.get("generation", ["0"])[0]
         if not generation.isdecimal() or (after and not after.isdecimal()):
             _reply(connection, 400, b"")
             return
         since = Revision(int(generation), int(after)) if after else None
-        reading = await self._mirror.news(since, HOLD)
+        reading = await self._mirror.wait_for_changes(since, MAX_WAIT)
         if reading is None:
             _reply(connection, 503, b"")
             return
         now = awake_or_not()
-        passage = Passage(
+        encoded = EncodedReading(
             reading.revision,
-            reading.whole,
-            self._pack(since, reading),
+            reading.full,
+            self._encode_changes(since, reading),
             now - reading.proved_at,
             now - reading.read_at,
-            reading.doubt,
-            reading.settling,
+            reading.uncertain_s,
+            reading.settle_s,
         )
-        _reply(connection, 200, _ENCODER.encode(passage))
+        _reply(connection, 200, _ENCODER.encode(encoded))
 
-    def _pack(self, since: Revision | None, reading: Reading) -> bytes:
-        """Return the changes of a reading as bytes, made once for all that ask alike.
+    def _encode_changes(self, since: Revision | None, reading: Reading) -> bytes:
+        """Return the encoded changes of a read, cached for all peers at the same revision.
 
-        At the first start all hosts change at once. Encoded for each of 20 peers and sent as it
-        is, that was answered too late, and the peers read the store: on a day of 62 entry hosts
-        4,079 times, 948 with this and with fewer questions to a store in trouble.
+        At the first start all hosts change concurrently. When their changes were encoded for each
+        of 20 peers and sent uncompressed, replies were late and the peers read the store: 4,079
+        times on a day with 62 entry hosts, against 948 with this cache, compression and fewer
+        calls to an unavailable store.
         """
-        if self._packed[0] != reading.revision:
-            self._packed = (reading.revision, {})
-        packed = self._packed[1]
-        if since not in packed:
-            packed[since] = shrink(_ENCODER.encode(list(reading.changes)))
-        return packed[since]
+        if self._encoded_changes[0] != reading.revision:
+            self._encoded_changes = (reading.revision, {})
+        changes_by_revision = self._encoded_changes[1]
+        if since not in changes_by_revision:
+            changes_by_revision[since] = shrink(_ENCODER.encode(list(reading.changes)))
+        return changes_by_revision[since]
 
 
 def _reply(connection: HTTPConnection, status: int, body: bytes) -> None:
     start = ResponseStartLine("HTTP/1.1", status, responses[status])
     headers = HTTPHeaders({"Content-Length": str(len(body))})
     written = connection.write_headers(start, headers, body)
-    # A peer that left hears nothing; it has asked another source by now.
+    # Errors are ignored: a peer that disconnected has already asked another source.
     written.add_done_callback(lambda w: w.cancelled() or w.exception())
     connection.finish()
--- a/src/oleanderhill/clients/storage.py
+++ b/src/oleanderhill/clients/storage.py
@@ -1,8 +1,8 @@
-"""What the project asks of a store that keeps revisions, and what each of its answers means.
+"""Interface to a key-value store with revisions.
 
-The store is the platform's; an adapter speaks its protocol and gives it this shape. A call either
-answers, or fails as one of :class:`~..exceptions.StoreError`; only
-:class:`~..exceptions.StoreAnswerLostError` leaves open whether the call was carried out.
+The platform provides the store; an adapter implements this interface over its protocol. A call
+either returns a result or fails with a :class:`~..exceptions.StoreError`. Only
+:class:`~..exceptions.StoreAnswerLostError` leaves open whether the call was executed.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class Revision(NamedTuple):
-    """A moment of the store's content.
+    """A version of the store's content.
 
-    A store that is restored from a backup gives its numbers out again, for other content. They
-    count within one generation; the content of a later generation is the newer one.
+    A store that is restored from a backup reuses its numbers for different content. Numbers are
+    comparable within one generation; content of a later generation is newer.
 
-    :param generation: rises each time that the store is restored, 0 where it names none
+    :param generation: incremented each time that the store is restored; 0 if the store reports none
     """
 
     generation: int
@@ -33,28 +33,28 @@
 
 
 class Lease(NamedTuple):
-    """A lease; in a later generation the same id may be another's."""
+    """A lease. Its id may be assigned to a different lease in a later generation."""
 
     generation: int
     id: int
 
 
 class HistoryLostError(StoreError):
-    """The changes asked for are no longer kept; the content has to be read anew."""
+    """The requested changes are no longer retained; the whole content has to be read."""
 
     def __init__(self) -> None:
         super().__init__("the store no longer has these changes")
 
 
 class GenerationEndedError(StoreError):
-    """The call names a revision of a generation that is over: nothing was asked of the store."""
+    """The call refers to a revision of an ended generation; nothing was sent to the store."""
 
     def __init__(self) -> None:
         super().__init__("the store was restored from a backup since")
 
 
 class StoreConflictError(StoreError):
-    """A commit's condition did not hold: nothing was written."""
+    """The condition of a commit did not hold; nothing was written."""
 
     def __init__(self, held: Mapping[str, Item]) -> None:
         self.held = held
@@ -62,7 +62,7 @@
 
 
 class LeaseEndedError(StoreError):
-    """The lease has ended, and with it the keys under it."""
+    """The lease has ended and its keys were removed."""
 
     def __init__(self) -> None:
         super().__init__("the lease has ended")
@@ -85,21 +85,21 @@
 
 
 class Listing(NamedTuple):
-    """Items, and the store's revision up to which they are complete."""
+    """Items and the store's revision up to which they are complete."""
 
     revision: Revision
     items: Sequence[Item]
 
 
 class Changes(NamedTuple):
-    """Changes in order, and the revision from which to ask on."""
+    """Changes in order, and the revision to continue from."""
 
     revision: Revision
     changes: Sequence[Change]
 
 
 class Write(NamedTuple):
-    """A key to be written; ``lease`` is ``None`` for a key that stays."""
+    """A key to write; ``lease`` is ``None`` for a key without a lease."""
 
     key: str
     value: bytes
@@ -113,18 +113,18 @@
         """Read all items under a prefix."""
 
     async def changes(self, after: Revision) -> Result[Changes, StoreError]:
-        """Read what changed after a revision, all keys, waiting a short while if nothing did.
+        """Read the changes of all keys after a revision, waiting briefly if there are none.
 
-        :return: :class:`HistoryLostError` also where that revision is of another generation
+        :return: :class:`HistoryLostError` also if the revision is of another generation
         """
 
     async def unchanged(self, expected: Mapping[str, Revision]) -> Result[bool, StoreError]:
-        """Tell whether all keys are at their expected revisions, by a linearizable read."""
+        """Return whether all keys are at their expected revisions, by a linearizable read."""
 
     async def commit(
         self, expected: Mapping[str, Revision], writes: Sequence[Write]
     ) -> Result[Revision, StoreError]:
-        """Write all or nothing if each key is at its expected revision.
+        """Write all keys atomically if each expected key is at its expected revision.
 
         :param expected: :data:`NEVER` for a key that does not exist
         """
--- a/src/oleanderhill/clients/store.py
+++ b/src/oleanderhill/clients/store.py
@@ -1,8 +1,8 @@
-"""Adapter to the platform's key-value service: compare-and-swap and watches.
+"""Client for the platform's key-value service: compare-and-swap and watches.
 
-The wire format is the published HTTP API of the Consul KV store (``/v1/kv``, modify indexes,
-blocking queries). Only this module knows it. A call is a *success* only with a whole answer; the
-two failures differ in whether the call may have landed.
+The protocol is the HTTP API of the Consul KV store (``/v1/kv``, modify indexes, blocking queries),
+used only in this module. A call succeeds only with a complete reply; the two kinds of failure
+differ in whether the call may have been executed.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class Stored(NamedTuple):
-    """A value and the index of the change that made it."""
+    """A value and its modify index."""
 
     value: bytes
     modify_index: int
 
 
 class Listing(NamedTuple):
-    """All values under a prefix, and the store's index when they were read."""
+    """All values under a prefix, and the store's index at the time of the read."""
 
     store_index: int
     by_key: dict[str, Stored]
@@ -42,9 +42,9 @@
 
 
 class StoreClient:
-    """Calls to the store.
+    """Client of the store.
 
-    :param address: of the platform's service
+    :param address: ``ip:port`` of the platform's service
     """
 
     def __init__(self, address: str, caller: HttpCaller) -> None:
@@ -58,7 +58,7 @@
         return await self._list(f"/v1/kv/{quote(prefix)}?recurse=true", CALL_TIMEOUT)
 
     async def watch(self, prefix: str, index: int) -> Result[Listing, StoreError]:
-        """Wait until something under a prefix changes after ``index``, or the wait is over."""
+        """Wait until a key under a prefix changes after ``index``, or the wait times out."""
         query = f"?recurse=true&index={index}&wait={int(WATCH_WAIT)}s"
         return await self._list(f"/v1/kv/{quote(prefix)}{query}", WATCH_WAIT + CALL_TIMEOUT)
 
@@ -68,7 +68,7 @@
         return found.map(lambda listing: listing.by_key.get(key))
 
     async def swap(self, key: str, value: bytes, index: int) -> Result[bool, StoreError]:
-        """Write a value if the key is still at ``index`` (0: does not exist); tell if it was."""
+        """Write a value if the key is at ``index`` (0: absent); return whether it was written."""
         self.writes += 1
         call = Call(
             self._address,
@@ -116,5 +116,5 @@
 
 
 def _status_error(reply: Reply) -> StoreError:
-    # A 5xx answer says nothing about a write that may have gone through behind it.
+    # After a 5xx status, a write may still have been executed.
     return StoreAnswerLostError(f"status {reply.status}")
--- a/src/oleanderhill/clients/targets.py
+++ b/src/oleanderhill/clients/targets.py
@@ -1,7 +1,6 @@
-"""Adapters to targets: reports and orders of engines, the platform's host list, weight tickets.
+"""Clients for engines (reports, orders) and the platform (host list, weight tickets).
 
-Each outside format is known here and nowhere else, so that the users' own formats replace ours in
-one module.
+These external formats are used only in this module, so that they can be replaced in one place.
 """
 
 from __future__ import annotations
@@ -28,14 +27,14 @@
 
 
 class HostList(NamedTuple):
-    """The platform's host list of one data centre at an index."""
+    """The platform's host list of one data centre, and its index."""
 
     list_index: int
     hosts: tuple[HostEntry, ...]
 
 
 class Ticket(NamedTuple):
-    """Leave to read weights: now when ``wait`` is 0, else ask again after that many seconds."""
+    """Permission to read weights if ``wait`` is 0; otherwise seconds until the next request."""
 
     wait: float
 
@@ -63,9 +62,9 @@
 
 
 class TargetClient:
-    """Calls to engines and to the platform's smaller services.
+    """Client of engines and of the platform's services.
 
-    :param platform: address of the platform
+    :param platform: ``ip:port`` of the platform
     """
 
     def __init__(self, platform: str, caller: HttpCaller) -> None:
@@ -73,13 +72,13 @@
         self._caller = caller
 
     async def probe(self, address: str) -> Result[HostReport, OleanderhillError]:
-        """Ask an engine for its report."""
+        """Fetch an engine's report."""
         call = Call(address, "GET", "/report", timeout=PROBE_TIMEOUT, reuse=True)
         reply = (await self._caller.call(call)).alt(_unreachable(address))
         return reply.bind(lambda r: _decode(address, r, _ReportBody)).map(_as_report)
 
     async def order(self, order: Order) -> Result[None, OleanderhillError]:
-        """Send an order. An engine that checks fencing numbers refuses an old one."""
+        """Send an order. An engine that checks fencing numbers rejects an outdated one."""
         body = {
             "kind": order.kind,
             "group": order.group,
@@ -95,10 +94,10 @@
         payload = json.dumps(body).encode()
         call = Call(order.address, "POST", "/orders", body=payload, timeout=ORDER_TIMEOUT)
         reply = (await self._caller.call(call)).alt(_unreachable(order.address))
-        return reply.bind(lambda r: _accepted(order.host, r))
+        return reply.bind(lambda r: _check_accepted(order.host, r))
 
     async def cancel(self, address: str, run_id: str) -> None:
-        """Tell an engine to drop a request; best effort, since the closed stream says it too."""
+        """Cancel a request at an engine; best effort, as the closed stream also cancels it."""
         await self._caller.call(Call(address, "POST", f"/cancel/{run_id}", timeout=PROBE_TIMEOUT))
 
     async def hosts(self, data_centre: str, index: int) -> Result[HostList, OleanderhillError]:
@@ -111,7 +110,7 @@
         )
 
     async def ticket(self, gigabytes: float) -> Result[Ticket, OleanderhillError]:
-        """Ask the weight store for leave to read so much; loads are paced, not stampeded."""
+        """Request permission to read weights; loads are paced to avoid a thundering herd."""
         path = f"/v1/weights/ticket?gb={gigabytes}"
         call = Call(self._platform, "POST", path, timeout=TICKET_TIMEOUT)
         reply = (await self._caller.call(call)).alt(_unreachable(self._platform))
@@ -120,7 +119,7 @@
         )
 
 
-def _unreachable(address: str):  # noqa: ANN202 - a small closure
+def _unreachable(address: str):  # noqa: ANN202 - returns a closure
     def convert(failure: CallFailure) -> OleanderhillError:
         reason = f"{failure.kind.value}: {failure.reason}"
         if failure.refused:
@@ -143,7 +142,7 @@
     return msgspec.convert(msgspec.structs.astuple(body), HostReport)
 
 
-def _accepted(host: str, reply: Reply) -> Result[None, OleanderhillError]:
+def _check_accepted(host: str, reply: Reply) -> Result[None, OleanderhillError]:
     if reply.status == 200:
         return Success(None)
     return Failure(OrderRefusedError(host, f"status {reply.status} {reply.body[:200]!r}"))
--- a/src/oleanderhill/journal/__init__.py
+++ b/src/oleanderhill/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The journal of requests that must not be repeated."""
+"""The journal that gives non-idempotent requests at-most-once execution."""
--- a/src/oleanderhill/journal/claims.py
+++ b/src/oleanderhill/journal/claims.py
@@ -1,9 +1,9 @@
 """The task that runs the journal of non-idempotent requests (:mod:`.once`).
 
-A shard's *home*, by rendezvous hash over the live entry hosts of a data centre, appends for them,
-so that one store write covers many claims. The home is an economy, not a safeguard: while it can't
-be reached, an entry host appends itself, and the journal's create-only batches keep each key to one
-claim.
+The *home* of a shard is one of the live entry hosts of a data centre, selected by rendezvous hash.
+It appends for all of them, so that one store write covers many claims. The home only saves writes:
+while it is unreachable, entry hosts append directly, and the create-only batches of the journal
+still ensure that each key is claimed once.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 from .messages import ClaimAnswer, ClaimAsk
 from .once import AppendResult, Batch, Decided, Journal, Row, RowKind, Verdict
 
-CLAIM_PATIENCE = 3.0
-HOME_PATIENCE = 0.5
-RETRY_EVERY = 0.5
+CLAIM_TIMEOUT = 3.0
+HOME_TIMEOUT = 0.5
+RETRY_INTERVAL = 0.5
 
 
 class Claims(Task):
-    """Owns the journal's shards as seen by this entry host."""
+    """Owns this entry host's copies of the journal shards."""
 
     name = "claims"
-    interval = RETRY_EVERY
+    interval = RETRY_INTERVAL
 
     def __init__(
         self,
@@ -52,9 +52,9 @@
         self._store = store
         self._decisions = decisions
         self._journals = [Journal() for _ in range(once.SHARDS)]
-        self._busy = [False] * once.SHARDS
+        self._store_call_pending = [False] * once.SHARDS
         self._waiting: dict[bytes, asyncio.Future[Decided]] = {}
-        self._askers: dict[bytes, tuple[int, str]] = {}
+        self._remote_claimants: dict[bytes, tuple[int, str]] = {}
 
     async def claim(self, key: bytes, body: bytes) -> tuple[Row, Decided]:
         """Claim a key; return the claim and the decision on it.
@@ -65,14 +65,14 @@
         shard = once.shard_of(key)
         decided = await self._claim_at_home(shard, row)
         if decided is None:
-            decided = await self._claim_here(shard, row)
+            decided = await self._claim_locally(shard, row)
         self._decisions.note("once", key.hex(), decided.verdict.value)
         return row, decided
 
     def finish(self, row: Row) -> None:
-        """Record how a granted claim ended: a row of kind done or release."""
+        """Record the end of a granted claim with a row of kind done or release."""
         shard = once.shard_of(row.key)
-        home = self._home(shard)
+        home = self._home_address(shard)
         if home is not None:
             self.kernel.post("peers", SendTo(home, ClaimAsk(shard, row)))
         else:
@@ -80,18 +80,18 @@
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing waits to be recorded."""
+        """Return whether there is nothing left to record."""
         return all(j.idle for j in self._journals)
 
     async def tick(self) -> None:
-        """Go on with what a failure of the store left."""
+        """Retry the operations that a store failure interrupted."""
         for shard, journal in enumerate(self._journals):
-            if not self._busy[shard] and not journal.idle:
+            if not self._store_call_pending[shard] and not journal.idle:
                 self._perform(shard, journal.retry())
 
     @singledispatchmethod
     def receive(self, body: Any, envelope: Received) -> None:
-        """Handle a peer's message."""
+        """Handle a message from a peer."""
 
     @receive.register
     def _(self, body: ClaimAsk, envelope: Received) -> None:
@@ -99,7 +99,7 @@
         if body.row.kind != RowKind.CLAIM:
             self._perform(body.shard, journal.note(body.row))
             return
-        self._askers[body.row.nonce] = (body.shard, envelope.address)
+        self._remote_claimants[body.row.nonce] = (body.shard, envelope.address)
         self._perform(body.shard, journal.claim(body.row))
 
     @receive.register
@@ -108,8 +108,8 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(Decided(body.nonce, body.verdict, body.row))
 
-    def _home(self, shard: int) -> str | None:
-        """Return the address of a shard's home, ``None`` if that is this entry host."""
+    def _home_address(self, shard: int) -> str | None:
+        """Return the address of a shard's home, ``None`` if it is this entry host."""
         live = self.kernel.find("membership", MembershipTask).live(self._data_centre)
         names = rendezvous(f"once/{shard}", live)
         if not names or names[0] == self._host:
@@ -117,13 +117,13 @@
         return live[names[0]].address
 
     async def _claim_at_home(self, shard: int, row: Row) -> Decided | None:
-        home = self._home(shard)
+        home = self._home_address(shard)
         if home is None:
             return None
         future = self._waiting[row.nonce] = asyncio.get_running_loop().create_future()
         self.kernel.post("peers", SendTo(home, ClaimAsk(shard, row)))
         try:
-            async with asyncio.timeout(HOME_PATIENCE):
+            async with asyncio.timeout(HOME_TIMEOUT):
                 decided = await future
         except TimeoutError:
             return None
@@ -131,17 +131,17 @@
             self._waiting.pop(row.nonce, None)
         return None if decided.verdict == Verdict.UNAVAILABLE else decided
 
-    async def _claim_here(self, shard: int, row: Row) -> Decided:
+    async def _claim_locally(self, shard: int, row: Row) -> Decided:
         journal = self._journals[shard]
         future = self._waiting[row.nonce] = asyncio.get_running_loop().create_future()
         self._perform(shard, journal.claim(row))
         try:
-            async with asyncio.timeout(CLAIM_PATIENCE):
+            async with asyncio.timeout(CLAIM_TIMEOUT):
                 return await future
         except TimeoutError:
             self._perform(shard, journal.withdraw(row.nonce))
-            # The home may have recorded the claim and its answer been lost. The caller is told
-            # "not run", so the key must be free when it comes back.
+            # The home may have recorded the claim, with its answer lost. The caller receives
+            # "not run", so the key must be free for its retry.
             self.finish(row._replace(kind=RowKind.RELEASE))
             return Decided(row.nonce, Verdict.UNAVAILABLE)
         finally:
@@ -151,40 +151,40 @@
         for effect in effects:
             match effect:
                 case Decided():
-                    self._decided(effect)
+                    self._deliver(effect)
                 case once.Append(sequence, batch):
                     self.spawn(self._append(shard, sequence, batch))
                 case once.Read(sequence):
                     self.spawn(self._read(shard, sequence))
 
-    def _decided(self, decided: Decided) -> None:
-        asker = self._askers.pop(decided.nonce, None)
-        if asker is not None:
+    def _deliver(self, decided: Decided) -> None:
+        claimant = self._remote_claimants.pop(decided.nonce, None)
+        if claimant is not None:
             answer = ClaimAnswer(decided.nonce, decided.verdict, decided.row)
-            self.kernel.post("peers", SendTo(asker[1], answer))
+            self.kernel.post("peers", SendTo(claimant[1], answer))
             return
         waiting = self._waiting.pop(decided.nonce, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(decided)
 
     async def _append(self, shard: int, sequence: int, batch: Batch) -> None:
-        self._busy[shard] = True
+        self._store_call_pending[shard] = True
         try:
             key = once.batch_key(shard, sequence)
             swapped = await self._store.swap(key, once.encode(batch), 0)
         finally:
-            self._busy[shard] = False
+            self._store_call_pending[shard] = False
         result = AppendResult.LOST
         if is_successful(swapped):
             result = AppendResult.CREATED if swapped.unwrap() else AppendResult.CONFLICT
         self._perform(shard, self._journals[shard].appended(result))
 
     async def _read(self, shard: int, sequence: int) -> None:
-        self._busy[shard] = True
+        self._store_call_pending[shard] = True
         try:
             listing = await self._store.list(f"once/{shard:02d}/")
         finally:
-            self._busy[shard] = False
+            self._store_call_pending[shard] = False
         journal = self._journals[shard]
         if not is_successful(listing):
             self._perform(shard, journal.read_failed())
--- a/src/oleanderhill/journal/messages.py
+++ b/src/oleanderhill/journal/messages.py
@@ -1,4 +1,4 @@
-"""What entry hosts ask each other about claims on idempotency keys."""
+"""Messages between entry hosts about claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ClaimAsk(NamedTuple):
-    """Ask the home of a journal shard to record a row."""
+    """Asks the home of a journal shard to record a row."""
 
     shard: int
     row: Row
 
 
 class ClaimAnswer(NamedTuple):
-    """What became of a claim."""
+    """The decision on a claim."""
 
     nonce: bytes
     verdict: Verdict
--- a/src/oleanderhill/journal/once.py
+++ b/src/oleanderhill/journal/once.py
@@ -1,11 +1,12 @@
-"""At most once for a key: a journal of claims in the store, as a pure state machine.
+"""At-most-once execution per key: a journal of claims in the store, as a pure state machine.
 
-A shard of the journal is a log of *batches*, each a key of its own that is created and never
-changed. A batch can be created at one sequence number once, by whoever comes first; the loser reads
-it, checks its own claims against it and tries the next number. So a key is claimed once whoever
-appends: no lease, no clock and no single writer is needed, and one store write covers many claims.
+A shard of the journal is a log of *batches*. Each batch is a separate store key that is created and
+never changed. Only the first writer creates the batch at a sequence number; any other reads it,
+checks its own claims against it and tries the next number. A key is therefore claimed only once,
+whichever host appends: no lease, clock or single writer is needed, and one store write covers many
+claims.
 
-A request may be sent only after its claim was *granted*, which is after the store acknowledged it.
+A request may be sent only after its claim was *granted*, that is, acknowledged by the store.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 SHARDS = 8
 MAX_BATCH = 200
-ANSWER_LIMIT = 4096
-"""Bytes of an answer that the journal keeps; of longer ones it keeps that they are done."""
+MAX_STORED_ANSWER = 4096
+"""Maximum bytes of an answer stored in the journal; for longer ones only the status is stored."""
 
 
 class RowKind(StrEnum):
-    """What a row says of its key."""
+    """The kind of event that a row records for its key."""
 
     CLAIM = "claim"
     RELEASE = "release"
@@ -37,8 +38,8 @@
 
     :param key: hash of account and idempotency key
     :param body: hash of the request's method, path and body
-    :param nonce: random id of the claim; the same claim sent twice is one claim
-    :param at: wall clock of the claim, in seconds; only to word the answer to a repeated key
+    :param nonce: random id that identifies the claim if it is sent twice
+    :param at: wall-clock time of the claim in seconds, used only in the answer to a repeated key
     """
 
     kind: RowKind
@@ -52,9 +53,10 @@
 
 
 class Batch(NamedTuple):
-    """A value of the journal.
+    """The rows of one store write.
 
-    :param write_id: random id of the write, to tell one's own batch after a lost answer
+    :param write_id: hash of the rows' nonces and kinds; identifies a host's own batch after a lost
+        answer
     """
 
     write_id: str
@@ -62,7 +64,7 @@
 
 
 class Verdict(StrEnum):
-    """What became of a claim."""
+    """The outcome of a claim."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -72,7 +74,7 @@
 
 
 class Decided(NamedTuple):
-    """The decision on a claim; ``row`` is the one that stands against it."""
+    """The decision on a claim; ``row`` is the row that conflicts with it."""
 
     nonce: bytes
     verdict: Verdict
@@ -80,20 +82,20 @@
 
 
 class Append(NamedTuple):
-    """Effect: create the batch at this sequence number, only if none is there."""
+    """Effect: create the batch at this sequence number if none exists there."""
 
     sequence: int
     batch: Batch
 
 
 class Read(NamedTuple):
-    """Effect: read all batches of the shard from this sequence number on."""
+    """Effect: read all batches of the shard, starting at this sequence number."""
 
     sequence: int
 
 
 class AppendResult(StrEnum):
-    """What the store said to an append."""
+    """The result of an append to the store."""
 
     CREATED = "created"
     CONFLICT = "conflict"
@@ -105,18 +107,18 @@
 
 
 def hash_key(account: str, key: str) -> bytes:
-    """Return the 16-byte hash under which an account's key is journalled."""
+    """Return the 16-byte hash of an account's idempotency key."""
     return hashlib.blake2b(f"{account}\0{key}".encode(), digest_size=16).digest()
 
 
 def hash_body(method: str, path: str, body: bytes) -> bytes:
-    """Return the 16-byte hash that tells whether a repeated key came with the same request."""
+    """Return the 16-byte hash of a request, to detect a key reused for a different one."""
     head = f"{method} {path}\0".encode()
     return hashlib.blake2b(head + body, digest_size=16).digest()
 
 
 def shard_of(key: bytes) -> int:
-    """Return the shard of a key's hash."""
+    """Return the shard of a hashed key."""
     return key[0] % SHARDS
 
 
@@ -126,12 +128,12 @@
 
 
 def encode(batch: Batch) -> bytes:
-    """Return a batch as stored."""
+    """Encode a batch for the store."""
     return msgspec.msgpack.encode(batch)
 
 
 def decode(value: bytes) -> Batch:
-    """Return the batch of a stored value.
+    """Decode a batch from its stored value.
 
     :raises msgspec.DecodeError: if the value is not a batch
     """
@@ -139,61 +141,63 @@
 
 
 def closing_row(claim: Row, ran: Ran, status: int = 0, answer: bytes | None = None) -> Row | None:
-    """Return the row that closes a granted claim, ``None`` where its end is not known.
+    """Return the row that closes a granted claim, ``None`` if the outcome is unknown.
 
-    :param ran: what is known of the run; only a claim whose request was surely not run is
+    :param ran: whether the request ran; only the claim of a request that definitely did not run is
         released, so that its key can be claimed again
-    :param answer: ``None`` for one that is not kept
+    :param answer: ``None`` for an answer that is not stored
     """
     if ran == Ran.NO:
         return claim._replace(kind=RowKind.RELEASE)
     if ran == Ran.UNKNOWN:
         return None
-    kept = answer is not None and len(answer) <= ANSWER_LIMIT
-    shown = answer if kept and answer is not None else b""
-    return claim._replace(kind=RowKind.DONE, status=status, answer=shown, answer_kept=kept)
+    is_stored = answer is not None and len(answer) <= MAX_STORED_ANSWER
+    stored_answer = answer if is_stored and answer is not None else b""
+    return claim._replace(
+        kind=RowKind.DONE, status=status, answer=stored_answer, answer_kept=is_stored
+    )
 
 
 class Journal:
-    """One shard as seen by one entry host."""
+    """One entry host's copy of one shard."""
 
     def __init__(self) -> None:
         self.sequence = 0
         self.by_key: dict[bytes, Row] = {}
         self._loaded = False
         self._waiting: dict[bytes, Row] = {}
-        self._notes: list[Row] = []
-        self._flying: Batch | None = None
+        self._closing_rows: list[Row] = []
+        self._pending_batch: Batch | None = None
         self._reading = False
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing waits to be written."""
-        return not (self._waiting or self._notes or self._flying)
+        """Return whether there is nothing left to write."""
+        return not (self._waiting or self._closing_rows or self._pending_batch)
 
     def claim(self, row: Row) -> list[Effect]:
-        """Ask for a claim. The decision may come at once or with a later event."""
+        """Request a claim. The decision may follow immediately or with a later event."""
         self._waiting[row.nonce] = row
         return self._advance()
 
     def note(self, row: Row) -> list[Effect]:
-        """Record the end of a granted claim: done, or released because it was not run."""
-        self._notes.append(row)
+        """Record the end of a granted claim: done, or released because it did not run."""
+        self._closing_rows.append(row)
         return self._advance()
 
     def withdraw(self, nonce: bytes) -> list[Effect]:
         """Stop waiting for a claim.
 
-        The claim may still land if its batch is in flight. A release then follows, so that the
-        caller, who was told "not run", can come back with the same key.
+        If its batch is in flight, the claim may still be recorded. A release then follows it, so
+        that the caller, which received "not run", can retry with the same key.
         """
         row = self._waiting.pop(nonce, None)
         if row is not None and self._in_flight(nonce):
-            self._notes.append(row._replace(kind=RowKind.RELEASE))
+            self._closing_rows.append(row._replace(kind=RowKind.RELEASE))
         return []
 
     def read(self, batches: list[tuple[int, Batch]]) -> list[Effect]:
-        """Take in the batches that a :class:`Read` brought."""
+        """Apply the batches returned for a :class:`Read`."""
         self._reading = False
         self._loaded = True
         effects: list[Effect] = []
@@ -204,39 +208,41 @@
         return [*effects, *self._advance()]
 
     def read_failed(self) -> list[Effect]:
-        """The store could not be read: nothing waiting can be granted."""
+        """Handle a failed read: reject the waiting claims as unavailable."""
         self._reading = False
-        return self._refuse_waiting()
+        return self._reject_waiting()
 
     def appended(self, result: AppendResult) -> list[Effect]:
-        """Take in what the store said to the append in flight."""
-        batch = self._flying
+        """Handle the result of the append in flight."""
+        batch = self._pending_batch
         if batch is None:
             return []
         if result == AppendResult.CREATED:
             return [*self._apply(self.sequence, batch), *self._advance()]
         if result == AppendResult.CONFLICT:
             return self._read()
-        # The write may have landed. Its claims are refused to their callers (nothing was sent),
-        # and the same batch is tried at the same place until the store says what is there.
-        return self._refuse_waiting()
+        # The write may have been executed. The claims are rejected as unavailable (no request was
+        # sent), and the same batch is retried at the same sequence number until the store answers.
+        return self._reject_waiting()
 
     def retry(self) -> list[Effect]:
-        """Go on after a failure; called at intervals by the driver."""
+        """Continue after a failure; called periodically by the driver."""
         if self._reading:
             return []
-        if self._flying is not None:
-            return [Append(self.sequence, self._flying)]
+        if self._pending_batch is not None:
+            return [Append(self.sequence, self._pending_batch)]
         return self._advance()
 
     def _in_flight(self, nonce: bytes) -> bool:
-        return self._flying is not None and any(r.nonce == nonce for r in self._flying.rows)
+        return self._pending_batch is not None and any(
+            r.nonce == nonce for r in self._pending_batch.rows
+        )
 
-    def _refuse_waiting(self) -> list[Effect]:
+    def _reject_waiting(self) -> list[Effect]:
         effects: list[Effect] = []
         for nonce, row in list(self._waiting.items()):
             if self._in_flight(nonce):
-                self._notes.append(row._replace(kind=RowKind.RELEASE))
+                self._closing_rows.append(row._replace(kind=RowKind.RELEASE))
             effects.append(Decided(nonce, Verdict.UNAVAILABLE))
         self._waiting.clear()
         return effects
@@ -248,10 +254,10 @@
         return [Read(self.sequence)]
 
     def _apply(self, sequence: int, batch: Batch) -> list[Effect]:
-        """Apply the batch that stands at ``sequence``; decide the claims that it settles."""
-        mine = self._flying is not None and batch.write_id == self._flying.write_id
-        if mine:
-            self._flying = None
+        """Apply the batch at ``sequence``; return the decisions on its claims."""
+        own = self._pending_batch is not None and batch.write_id == self._pending_batch.write_id
+        if own:
+            self._pending_batch = None
         effects: list[Effect] = []
         for row in batch.rows:
             granted = self._take(row)
@@ -259,18 +265,20 @@
             if waiting is not None:
                 effects.append(self._decision(waiting, granted))
         self.sequence = sequence + 1
-        if not mine and self._flying is not None:
-            # Another batch stands where ours was to go: ours can't land there any more.
-            self._notes = [r for r in self._flying.rows if r.kind != RowKind.CLAIM] + self._notes
-            self._flying = None
+        if not own and self._pending_batch is not None:
+            # Another batch was created at this sequence number, so the pending one can't be.
+            self._closing_rows = [
+                r for r in self._pending_batch.rows if r.kind != RowKind.CLAIM
+            ] + self._closing_rows
+            self._pending_batch = None
         return effects
 
     def _take(self, row: Row) -> bool:
-        """Apply one row to the keys; return whether a claim was granted."""
+        """Apply one row to the keys; return whether it is a granted claim."""
         held = self.by_key.get(row.key)
         if row.kind == RowKind.CLAIM:
-            # The first claim in the log holds, for every reader alike. A later one of the same
-            # key is void even though it was written: its writer reads this same order.
+            # The first claim in the log wins, for every reader. A later claim of the same key is
+            # void although it was written, as its writer reads the log in the same order.
             if held is not None:
                 return held.nonce == row.nonce and held.kind == RowKind.CLAIM
             self.by_key[row.key] = row
@@ -299,18 +307,18 @@
             if row.key in self.by_key and not self._in_flight(nonce):
                 del self._waiting[nonce]
                 effects.append(self._decision(row, False))
-        if self._flying is None and not self._reading:
-            effects.extend(self._fly())
+        if self._pending_batch is None and not self._reading:
+            effects.extend(self._start_append())
         return effects
 
-    def _fly(self) -> list[Effect]:
-        notes = self._notes[:MAX_BATCH]
-        claims = list(self._waiting.values())[: MAX_BATCH - len(notes)]
-        rows = (*notes, *claims)
+    def _start_append(self) -> list[Effect]:
+        closing_rows = self._closing_rows[:MAX_BATCH]
+        claims = list(self._waiting.values())[: MAX_BATCH - len(closing_rows)]
+        rows = (*closing_rows, *claims)
         if not rows:
             return []
-        self._notes = self._notes[len(notes) :]
+        self._closing_rows = self._closing_rows[len(closing_rows) :]
         seed = b"".join(r.nonce + r.kind.encode() for r in rows)
         write_id = hashlib.blake2b(seed, digest_size=12).hexdigest()
-        self._flying = Batch(write_id, rows)
-        return [Append(self.sequence, self._flying)]
+        self._pending_batch = Batch(write_id, rows)
+        return [Append(self.sequence, self._pending_batch)]
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -1,4 +1,4 @@
-"""What is held while the store is restored from a backup, without a network."""
+"""Local copies of store content across a restore from a backup, without a network."""
 
 import json
 import random
@@ -143,7 +143,7 @@
         log = ChangeLog()
         log.replace(Revision(1, 100), [Change("a", b"1", Revision(1, 90))])
         log.replace(Revision(2, 60), [Change("a", b"0", Revision(2, 50))])
-        log.take(Revision(2, 61), [Change("b", b"1", Revision(2, 61))])
+        log.apply(Revision(2, 61), [Change("b", b"1", Revision(2, 61))])
         for after in (Revision(1, 100), Revision(1, 61), Revision(3, 1)):
             self.assertIsNone(log.since(after))
         self.assertEqual([c.key for c in log.since(Revision(2, 60))], ["b"])
@@ -151,7 +151,7 @@
 
 
 class HostListTest(unittest.TestCase):
-    """The list of a store that came back, against what was known before."""
+    """Merges the host list of a restored store with the state known before."""
 
     def setUp(self):
         self.inventory = Inventory()
@@ -185,7 +185,7 @@
         return None if host is None or host.membership is None else host.membership.group
 
     def known(self, sequence, group="g2"):
-        self.hosts.replace([self.item(sequence, group=grouped(group))], 0.0)
+        self.hosts.replace([self.item(sequence, group=group_entry(group))], 0.0)
         self.hosts.settle(0.0)
 
     def restore(self, *what, **how):
@@ -196,15 +196,15 @@
 
     def test_group_that_the_backup_does_not_know_stands_until_its_host_writes_again(self):
         self.known(9)
-        self.restore(7, group=grouped("g1"))
+        self.restore(7, group=group_entry("g1"))
         self.assertEqual(self.membership(), "g2")
-        self.assertTrue(self.change(10, group=grouped("g2")))
+        self.assertTrue(self.change(10, group=group_entry("g2")))
         self.hosts.settle(12.3)
         self.assertEqual(self.membership(), "g2")
 
     def test_entry_that_nobody_writes_again_is_believed_in_the_end(self):
         self.known(9)
-        self.restore(7, group=grouped("g1"))
+        self.restore(7, group=group_entry("g1"))
         self.hosts.settle(12.1)
         self.assertEqual(self.membership(), "g2")
         self.hosts.settle(12.2)
@@ -212,7 +212,7 @@
 
     def test_newer_entry_is_taken_at_once(self):
         self.known(9)
-        self.restore(10, group=grouped("g3"))
+        self.restore(10, group=group_entry("g3"))
         self.assertEqual(self.membership(), "g3")
 
     def test_host_that_leaves_still_leaves_whatever_the_backup_says(self):
@@ -231,12 +231,12 @@
         self.assertIn(Instance("a", 5), self.inventory.by_instance)
 
 
-def grouped(name):
+def group_entry(name):
     return {"name": name, "epoch": 1, "rank": 0, "state": "open"}
 
 
-class Answers:
-    """A caller of the store that answers as it is told."""
+class FakeCaller:
+    """A fake HTTP caller with configurable answers."""
 
     def __init__(self):
         self.generation, self.status, self.body, self.paths = 1, 200, b"{}", []
@@ -249,28 +249,28 @@
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.answers = Answers()
-        self.store = PlatformStore("x:1", self.answers, Records("e1"))
+        self.caller = FakeCaller()
+        self.store = PlatformStore("x:1", self.caller, Records("e1"))
 
     async def test_revision_that_is_given_out_again_is_another(self):
-        self.answers.body = b'{"events": [], "at": 50}'
+        self.caller.body = b'{"events": [], "at": 50}'
         found = await self.store.changes(Revision(1, 50))
         self.assertEqual(found.unwrap().revision, Revision(1, 50))
-        self.answers.generation = 2
+        self.caller.generation = 2
         found = await self.store.changes(Revision(1, 50))
         self.assertIsInstance(found.failure(), HistoryLostError)
-        self.answers.body = b'{"revision": 50}'
+        self.caller.body = b'{"revision": 50}'
         self.assertIs((await self.store.unchanged({"k": Revision(1, 50)})).unwrap(), False)
         self.assertIs((await self.store.unchanged({"k": Revision(2, 50)})).unwrap(), True)
 
     async def test_check_that_meets_the_new_generation_first_proves_nothing(self):
-        self.answers.generation = 2
+        self.caller.generation = 2
         self.assertIs((await self.store.unchanged({"k": Revision(1, 50)})).unwrap(), False)
 
     async def test_nothing_is_written_by_a_revision_or_lease_of_an_ended_generation(self):
-        self.answers.generation = 2
+        self.caller.generation = 2
         await self.store.grant(3.0)
-        calls = len(self.answers.paths)
+        calls = len(self.caller.paths)
         write = Write("k", b"v")
         found = await self.store.commit({"k": Revision(1, 50)}, [write])
         self.assertIsInstance(found.failure(), GenerationEndedError)
@@ -278,20 +278,20 @@
         self.assertIsInstance(found.failure(), GenerationEndedError)
         for ended in (self.store.renew, self.store.end):
             self.assertIsInstance((await ended(Lease(1, 7))).failure(), LeaseEndedError)
-        self.assertEqual(len(self.answers.paths), calls)
-        self.answers.body = b'{"revision": 51}'
+        self.assertEqual(len(self.caller.paths), calls)
+        self.caller.body = b'{"revision": 51}'
         found = await self.store.commit({"k": NEVER}, [write])
         self.assertEqual(found.unwrap(), Revision(2, 51))
 
     async def test_lease_whose_renewal_meets_the_new_generation_has_ended(self):
-        self.answers.body = b'{"lease_id": 7}'
+        self.caller.body = b'{"lease_id": 7}'
         lease = (await self.store.grant(3.0)).unwrap()
-        self.answers.generation = 2
+        self.caller.generation = 2
         self.assertIsInstance((await self.store.renew(lease)).failure(), LeaseEndedError)
 
     async def test_generation_rises_by_any_answer_and_never_falls(self):
         for generation, status, newest in ((1, 200, 1), (4, 503, 4), (2, 200, 4), (5, 412, 5)):
-            self.answers.generation, self.answers.status = generation, status
+            self.caller.generation, self.caller.status = generation, status
             self.assertFalse(is_successful(await self.store.list("p")))
             self.assertEqual(self.store.generation, newest)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Readings of the store passed on among entry hosts."""
+"""Reads of the store and their relay between entry hosts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,12 @@
 from oleanderhill.clients.httpcall import HttpCaller
 from oleanderhill.clients.keyed import KeyedCopy
 from oleanderhill.clients.mirror import Follower, Mirror
-from oleanderhill.clients.readings import CHECK_EVERY, DEAF, Reading, StoreSource
+from oleanderhill.clients.readings import (
+    CHECK_INTERVAL,
+    MISSED_CHANGES_WINDOW,
+    Reading,
+    StoreSource,
+)
 from oleanderhill.clients.relay import PeerSource, RelayServer
 from oleanderhill.clients.storage import (
     NEVER,
@@ -67,13 +72,13 @@
         st.data(),
     )
     def test_content_and_changes_lead_to_the_same(self, readings, data):
-        # A peer that took the content at some reading and the changes from then on holds what the
-        # host holds that read it all.
+        # A peer that applies the content of any read and all later changes ends up with the content
+        # of the host that applied every read.
         log = ChangeLog()
         start = data.draw(st.integers(0, len(readings) - 1))
         held, after = {}, NEVER
         for revision, changes in enumerate(readings, 1):
-            log.take(rev(revision), [Change(k, v, rev(revision)) for k, v in changes])
+            log.apply(rev(revision), [Change(k, v, rev(revision)) for k, v in changes])
             if revision - 1 == start:
                 held, after = {c.key: c.value for c in log.content()}, rev(revision)
         for change in log.since(after):
@@ -85,12 +90,12 @@
         log = ChangeLog()
         log.replace(rev(5), [Change("a", b"1", rev(3)), Change("b", b"1", rev(4))])
         log.replace(rev(9), [Change("a", b"1", rev(3)), Change("c", b"1", rev(8))])
-        told = {c.key: c.value for c in log.since(rev(5))}
-        self.assertEqual(told, {"b": None, "c": b"1"})
+        logged = {c.key: c.value for c in log.since(rev(5))}
+        self.assertEqual(logged, {"b": None, "c": b"1"})
 
     def test_what_is_no_longer_kept_is_not_made_up(self):
         log = ChangeLog()
-        log.take(rev(10), [])
+        log.apply(rev(10), [])
         self.assertIsNone(log.since(rev(9)))
         self.assertEqual(log.since(rev(10)), [])
 
@@ -100,13 +105,14 @@
         self.alive = {f"e{n}": Presence(f"e{n}", "l", f"x:{n}", "ab"[n % 2]) for n in range(8)}
 
     def test_one_host_reads_the_store_for_all(self):
-        # Benchmark: of two data centres a host each read the store before, one of all does now.
+        # One host reads the store for all data centres, rather than one host in each.
         reading = [p for p in self.alive.values() if reads_store(p, self.alive)]
         self.assertEqual(reading, [main_reader(self.alive)])
 
     def test_duties_for_many_fall_to_strong_machines(self):
-        # After a power failure a machine of half a core behind a slow link read the store for 38
-        # neighbours. They waited two seconds for their first content and refused their callers.
+        # Guards against a weak reader: after a power failure a machine with half a core and a slow
+        # link read the store for 38 peers, which waited two seconds for their first content and
+        # rejected requests meanwhile.
         strong = {"e2", "e3"}
         alive = {
             p.name: p._replace(strength=200.0 if p.name in strong else 10.0)
@@ -115,14 +121,14 @@
         self.assertEqual({reader_of(d, alive).name for d in "ab"}, strong)
         self.assertEqual({hub_ranking(d, alive)[0] for d in "ab"}, strong)
         self.assertIn(preferred_owner("d0", alive), strong)
-        # The second hub of a data centre with one strong machine is one of the others.
+        # In a data centre with one strong machine the second aggregator is a weaker one.
         self.assertEqual(len(hub_ranking("a", alive)), 2)
         del alive["e2"], alive["e3"]
         self.assertIsNotNone(reader_of("a", alive))
 
     def test_every_way_of_asking_ends_at_the_main_reader(self):
-        # A host asks the reader of its data centre, and that one the main reader. Asking in a
-        # circle, all would wait for each other, and fall back on the store one by one.
+        # A host asks the reader of its data centre, and that reader asks the main reader. In a
+        # cycle all would wait for each other and then read the store one by one.
         main = main_reader(self.alive)
         for me in self.alive.values():
             first = peers_to_ask(me, self.alive)[0]
@@ -142,22 +148,22 @@
         self.assertEqual(peers_to_ask(self.alive["e0"], {}), [])
 
 
-NO_NEWS = Success(Changes(rev(9), []))
+NO_CHANGES = Success(Changes(rev(9), []))
 
 
-class Shelf:
-    """A store that is asked for changes and whether keys are unchanged.
+class FakeStore:
+    """A fake store with configurable results of watches and freshness checks.
 
-    :param answers: what is said to each question for changes, the last one again and again
+    :param answers: results of successive watches; the last one repeats
     """
 
-    def __init__(self, unchanged=True, answers=(NO_NEWS,), takes=0.0):
-        self.unchanged_now, self.answers, self.takes = unchanged, list(answers), takes
+    def __init__(self, unchanged=True, answers=(NO_CHANGES,), delay=0.0):
+        self.unchanged_now, self.answers, self.delay = unchanged, list(answers), delay
         self.checks = 0
         self.checked_at = 0.0
 
     async def changes(self, after):
-        await asyncio.sleep(self.takes)
+        await asyncio.sleep(self.delay)
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
     async def unchanged(self, expected):
@@ -170,11 +176,11 @@
 
 
 class ProofTest(unittest.IsolatedAsyncioTestCase):
-    """Callers get 503 from a data centre that is cut off, seconds before its keys must be dead.
+    """Freshness checks beside reads, which postpone the 503 of a partitioned data centre.
 
-    A reading alone proves what held 1.3 s before it, as a store that drops its history tells
-    nothing for a second. At the cut the proof was 2 s old of the 4.3 for which it may be used, and
-    requests were refused 2.4 s after it that came back and were refused again.
+    A read alone verifies the content as of 1.3 s earlier, as a store that drops its history sends
+    nothing for a second. Without checks, 2 s of the 4.3 s for which a verification is valid had
+    passed at the partition: requests were rejected 2.4 s after it, retried and rejected again.
     """
 
     def setUp(self):
@@ -189,72 +195,77 @@
         return source
 
     async def test_unchanged_configuration_is_proved_as_of_the_question(self):
-        asked, shelf = awake_or_not(), Shelf(takes=0.02)
+        asked, shelf = awake_or_not(), FakeStore(delay=0.02)
         await self.source(shelf).read(rev(9), asked)
         (proved,) = self.proved
         self.assertGreaterEqual(proved, asked)
         self.assertLessEqual(proved, shelf.checked_at)
 
     async def test_without_such_an_answer_the_proof_is_that_of_the_reading(self):
-        for shelf, checks in ((Shelf(unchanged=False), True), (Shelf(), False)):
+        for shelf, checks in ((FakeStore(unchanged=False), True), (FakeStore(), False)):
             found = await self.source(shelf, checks).read(rev(9), 100.0)
             await asyncio.sleep(0.02)
-            self.assertEqual((found.unwrap().proved_at, self.proved), (100.0 - DEAF, []))
+            self.assertEqual(
+                (found.unwrap().proved_at, self.proved), (100.0 - MISSED_CHANGES_WINDOW, [])
+            )
 
     async def test_what_a_check_shows_and_a_watch_given_up_are_in_the_log(self):
-        source = self.source(Shelf(unchanged=False, takes=2.0))
+        source = self.source(FakeStore(unchanged=False, delay=2.0))
         await source.read(rev(9), 100.0)
         await asyncio.sleep(0.02)
         self.assertEqual([what for what, _ in self.notes], ["checked", "watch given up"])
         self.assertEqual(self.notes[0][1]["held"], {"configuration": rev(7)})
 
     async def test_configuration_is_proved_again_while_the_reading_hangs(self):
-        # Sixty hosts asked the store at once, each for itself, as the reader's proof had aged while
-        # its reading hung.
-        reading = asyncio.create_task(self.source(Shelf(takes=5.0)).read(rev(9), 100.0))
-        await asyncio.sleep(CHECK_EVERY + 0.1)
+        # Without checks during a hanging read, the reader's last check became too old and sixty
+        # hosts read the store concurrently.
+        reading = asyncio.create_task(self.source(FakeStore(delay=5.0)).read(rev(9), 100.0))
+        await asyncio.sleep(CHECK_INTERVAL + 0.1)
         reading.cancel()
         self.assertEqual(len(self.proved), 2)
 
     async def test_hurried_readings_are_not_each_paid_for_twice(self):
-        shelf = Shelf(takes=0.01)
+        shelf = FakeStore(delay=0.01)
         source = self.source(shelf)
         for _ in range(8):
             await source.read(rev(9), 100.0)
         self.assertEqual(shelf.checks, 1)
 
     async def test_reader_that_is_cut_asks_the_store_again_before_anybody_else(self):
-        # All hosts refused their callers for a second. The store dropped its history: it told
-        # nothing for a second, and cut the reader for all. That one waited for a neighbour, which
-        # waited for it, and read the store anew when the last proof was 4.3 s old.
+        # The store drops its history: it sends nothing for a second and then closes the connection
+        # of the main reader. If that reader asked a peer, which waits for it in turn, it would read
+        # the store only when the last check is 4.3 s old, and all hosts would reject requests for a
+        # second.
         lost = [Failure(StoreCutError("closed")), Failure(HistoryLostError())]
-        found = await self.source(Shelf(answers=lost)).read(rev(9), 100.0)
-        self.assertTrue(found.unwrap().whole)
+        found = await self.source(FakeStore(answers=lost)).read(rev(9), 100.0)
+        self.assertTrue(found.unwrap().full)
 
     async def test_reader_that_is_told_nothing_of_a_change_reads_everything(self):
-        # Keys are taken away while the store tells watchers nothing. The reader had no proof any
-        # more, and no news: 86 peers asked the store, and each read all of its content.
-        shelf = Shelf(unchanged=False, takes=5.0)
+        # Keys are removed while the store sends watchers nothing. With neither a valid check nor
+        # changes from the reader, 86 peers would each read the whole content from the store.
+        shelf = FakeStore(unchanged=False, delay=5.0)
         began = awake_or_not()
         found = await self.source(shelf).read(rev(9), began)
-        self.assertTrue(found.unwrap().whole)
+        self.assertTrue(found.unwrap().full)
         self.assertLess(awake_or_not() - began, 1.0)
 
     async def test_reader_that_is_told_of_a_change_takes_what_it_is_told(self):
-        found = await self.source(Shelf(unchanged=False, takes=0.1)).read(rev(9), 100.0)
-        self.assertFalse(found.unwrap().whole)
+        found = await self.source(FakeStore(unchanged=False, delay=0.1)).read(rev(9), 100.0)
+        self.assertFalse(found.unwrap().full)
 
     async def test_silent_store_is_not_asked_twice_in_a_row(self):
-        lost = [Failure(StoreAnswerLostError("timeout")), NO_NEWS]
-        self.assertFalse(is_successful(await self.source(Shelf(answers=lost)).read(rev(9), 100.0)))
+        lost = [Failure(StoreAnswerLostError("timeout")), NO_CHANGES]
+        self.assertFalse(
+            is_successful(await self.source(FakeStore(answers=lost)).read(rev(9), 100.0))
+        )
 
 
 class SourcesTest(unittest.IsolatedAsyncioTestCase):
     async def test_outage_is_not_asked_about_by_all_the_time(self):
-        # The store is down, and the reader of this data centre has nothing to give. Each of sixty
-        # hosts asked the store four times a second then, and each refused call was paid for. Now
-        # a host that has a reader to ask leaves the store alone for a second, and goes on asking
-        # the reader, which hears of the return first. One that is silent is left alone too.
+        # The store is down and the reader of this data centre has no content. If each of sixty
+        # hosts asks the store four times a second, each failed call is billed. A host that has a
+        # reader to ask backs off from the store for a second, and keeps asking the reader, which
+        # detects the recovery first. A reader that doesn't respond is put in back-off too.
         me, reader = Presence("e1", "l", "x:1", "a"), Presence("e2", "l", "x:2", "a")
         me, reader = sorted((me, reader), key=lambda p: p == self.reader(me, reader))
         sources = self.sources(me, reader)
@@ -267,8 +278,8 @@
         self.assertEqual(await self.names(sources, 12.1), [reader.name, "store"])
 
     async def test_silence_of_the_reader_leaves_time_to_read_the_store(self):
-        # The reader is dead, and its neighbour waited over a second for it. Asking another peer,
-        # which may be dead too, would take as long again, and a change be in force too late.
+        # The reader is dead, and its peer has waited over a second for it. Asking another peer,
+        # which may be dead too, could take as long again, and the change would be applied late.
         me, reader = Presence("e1", "l", "x:1", "a"), Presence("e2", "l", "x:2", "a")
         me, reader = sorted((me, reader), key=lambda p: p == self.reader(me, reader))
         sources = self.sources(me, reader, Presence("e3", "l", "x:3", "b"))
@@ -279,9 +290,9 @@
         self.assertEqual(await self.names(sources, 11.8), ["e3", "store"])
 
     async def test_reader_with_nothing_to_give_leaves_time_to_read_the_store(self):
-        # The main reader is frozen. The reader of this data centre waits for it, and tells its
-        # neighbour after most of a second that it has nothing new. The neighbour asked the frozen
-        # one next, and had a change in force after 2.0 s, its bound; now it reads the store.
+        # The main reader is frozen. The reader of this data centre waits for it, and answers its
+        # peer after most of a second that it has no changes. If the peer asked the frozen host
+        # next, it would apply a change only after 2.0 s, the bound; it reads the store instead.
         me, reader = Presence("e1", "l", "x:1", "a"), Presence("e2", "l", "x:2", "a")
         me, reader = sorted((me, reader), key=lambda p: p == self.reader(me, reader))
         sources = self.sources(me, reader, Presence("e3", "l", "x:3", "b"))
@@ -314,7 +325,7 @@
         return [s.name for s in await sources.in_order(now)]
 
 
-class _Source:
+class _FakeSource:
     name = "store"
 
     def __init__(self):
@@ -329,7 +340,7 @@
         return Success(self.readings.pop(0))
 
 
-class _Sources:
+class _FakeSources:
     def __init__(self, *sources):
         self.sources = sources
 
@@ -340,7 +351,7 @@
         pass
 
 
-def make_mirror(sources, taken, doubts):
+def make_mirror(sources, taken, uncertain_until):
     def replace(items, now):
         taken.clear()
         taken.update({i.key: i.value for i in items})
@@ -355,7 +366,7 @@
         Currency(5.0),
         [Follower("", replace, change)],
         lambda now: None,
-        doubts.append,
+        uncertain_until.append,
         2.0,
         Records("here"),
         random.Random(1),
@@ -364,20 +375,21 @@
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.store = _Source()
-        self.near = make_mirror(_Sources(self.store), {}, [])
+        self.store = _FakeSource()
+        self.reader_mirror = make_mirror(_FakeSources(self.store), {}, [])
         address = free_address()
-        self.server = RelayServer(Kernel(), address, self.near)
+        self.server = RelayServer(Kernel(), address, self.reader_mirror)
         await self.server.start()
         self.peer = PeerSource("near", address, HttpCaller())
         self.addAsyncCleanup(self.server.stop)
 
     async def test_proof_is_never_younger_for_having_been_passed_on(self):
-        # The host that reads proved its content 2 s ago, and is slow to answer besides. A peer
-        # must not take the moment of the answer for that of the proof, or a key that was removed
-        # would live longer than the bound.
+        # The reader last verified its content 2 s ago and answers slowly. If a peer took the time
+        # of the answer for that of the check, a removed key would be accepted beyond the bound.
         now = awake_or_not()
-        self.near._take(Reading(rev(7), True, [Change("k", b"1", rev(7))], now - 2.0, now - 1.0))
+        self.reader_mirror._take(
+            Reading(rev(7), True, [Change("k", b"1", rev(7))], now - 2.0, now - 1.0)
+        )
         asked = awake_or_not()
         found = (await self.peer.read(None, asked)).unwrap()
         self.assertLessEqual(found.proved_at, now - 2.0 + 0.001)
@@ -385,12 +397,12 @@
         self.assertEqual(found.changes, [Change("k", b"1", rev(7))])
 
     async def test_what_the_reader_writes_itself_reaches_its_peers(self):
-        # The host that reads the store for its data centre owns a fabric domain too, and forms
-        # groups there. It holds the plan from the moment of its write, so the reading that brings
-        # the plan tells it nothing new. Its peers had no other way to hear of it: they sent no
-        # request to these groups until they read everything anew.
+        # The reader of a data centre also owns a fabric domain and forms groups there. It holds its
+        # plan from the time of its write, so the read that returns the plan is nothing new to it.
+        # If the change were therefore not relayed, peers would send no requests to these groups
+        # until their next read of the whole content.
         copy = KeyedCopy(lambda value: value, Records("here"))
-        mirror = make_mirror(_Sources(self.store), {}, [])
+        mirror = make_mirror(_FakeSources(self.store), {}, [])
         mirror._followers = [Follower("", copy.replace, copy.change)]
         mirror._take(Reading(rev(10), True, [Change("plan", b"old", rev(9))], 0.0, 0.0))
         copy.put("plan", b"new", rev(12))
@@ -399,66 +411,67 @@
 
     async def test_question_waits_for_news(self):
         now = awake_or_not()
-        self.near._take(Reading(rev(7), True, [], now, now))
+        self.reader_mirror._take(Reading(rev(7), True, [], now, now))
         asked = asyncio.ensure_future(self.peer.read(rev(7), now))
         await asyncio.sleep(0.1)
         self.assertFalse(asked.done())
-        self.near._take(Reading(rev(9), False, [Change("k", b"2", rev(8))], now, now))
+        self.reader_mirror._take(Reading(rev(9), False, [Change("k", b"2", rev(8))], now, now))
         found = (await asked).unwrap()
         self.assertEqual((found.revision, found.changes), (rev(9), [Change("k", b"2", rev(8))]))
 
     async def test_host_that_is_behind_takes_nothing_back(self):
-        # The peer read the store itself and is ahead of the host that it asks. It keeps what it
-        # has, and does not go back to that host's revision.
+        # The peer read the store itself and is ahead of the host that it asks. It retains its
+        # content and does not revert to that host's revision.
         now = awake_or_not()
-        self.near._take(Reading(rev(7), True, [Change("k", b"1", rev(7))], now, now))
+        self.reader_mirror._take(Reading(rev(7), True, [Change("k", b"1", rev(7))], now, now))
         asked = asyncio.ensure_future(self.peer.read(rev(9), now))
         await asyncio.sleep(0.05)
-        self.near._take(Reading(rev(8), False, [], now, now))
+        self.reader_mirror._take(Reading(rev(8), False, [], now, now))
         found = (await asked).unwrap()
         self.assertEqual((found.revision, list(found.changes)), (rev(9), []))
 
     async def test_peers_hear_of_a_proof_though_the_reading_hangs(self):
-        # Sixty hosts asked a store that was about to drop its history, each for itself, and none
-        # heard a thing: the reader had a proof for them all, and no news to tell it with.
+        # The store is about to drop its history, so the read hangs. If the reader sent its
+        # freshness check only with changes, sixty hosts would each read the store without a result.
         now = awake_or_not()
-        self.near._take(Reading(rev(7), True, [], now - 2.0, now))
+        self.reader_mirror._take(Reading(rev(7), True, [], now - 2.0, now))
         asked = asyncio.ensure_future(self.peer.read(rev(7), now))
         await asyncio.sleep(0.1)
-        self.near._currency.prove(now + 0.1)
+        self.reader_mirror._currency.prove(now + 0.1)
         found = (await asked).unwrap()
         self.assertEqual((found.revision, list(found.changes)), (rev(7), []))
         self.assertLessEqual(found.proved_at, now + 0.1)
         self.assertGreater(found.proved_at, now - 1.0)
 
     async def test_host_that_can_not_read_says_so_in_time(self):
-        # The host that reads for this data centre is cut off from the store. The peer hears so
-        # within a second, and reads the store itself well within the bound of 2 s.
+        # The reader of this data centre is partitioned from the store. The peer gets a failure soon
+        # enough to read the store itself well within the bound of 2 s.
         now = awake_or_not()
-        self.near._take(Reading(rev(7), True, [], now, now))
+        self.reader_mirror._take(Reading(rev(7), True, [], now, now))
         before = awake_or_not()
         found = await self.peer.read(rev(7), before)
         self.assertFalse(is_successful(found))
         self.assertLess(awake_or_not() - before, 1.2)
 
     async def test_entries_that_may_come_back_are_doubted_at_the_peer_too(self):
-        # The store was away and entries of hosts lapsed meanwhile. A peer that only ever asked
-        # another host saw no outage; without the word of doubt it would take its groups for gone.
+        # Host entries expired during an outage of the store. A peer that reads only from another
+        # host did not observe the outage; unless it learns that entries may reappear, it would
+        # treat their groups as gone.
         now = awake_or_not()
-        self.near._doubt(now + 2.0)
-        self.near._take(Reading(rev(7), True, [], now, now))
-        doubts = []
-        far = make_mirror(_Sources(self.peer), {}, doubts)
-        await far._read()
-        self.assertAlmostEqual(doubts[-1], now + 2.0, delta=0.3)
+        self.reader_mirror._mark_uncertain(now + 2.0)
+        self.reader_mirror._take(Reading(rev(7), True, [], now, now))
+        uncertain_until = []
+        peer_mirror = make_mirror(_FakeSources(self.peer), {}, uncertain_until)
+        await peer_mirror._read()
+        self.assertAlmostEqual(uncertain_until[-1], now + 2.0, delta=0.3)
 
     async def test_outage_is_known_before_what_it_removed_is_taken(self):
-        # The first reading after an outage holds the removals that the outage caused.
-        taken, doubts = {}, []
-        mirror = make_mirror(_Sources(self.store), taken, doubts)
+        # The first read after an outage contains the removals that the outage caused.
+        taken, uncertain_until = {}, []
+        mirror = make_mirror(_FakeSources(self.store), taken, uncertain_until)
         order = []
-        mirror._doubted = lambda until: order.append("doubt")
-        mirror._settled = lambda now: order.append("taken")
+        mirror._on_uncertain = lambda until: order.append("doubt")
+        mirror._on_applied = lambda now: order.append("taken")
         now = awake_or_not()
         self.store.readings = [Reading(rev(1), True, [], now, now)]
         await mirror._read()
@@ -471,9 +484,9 @@
 
 class ReaderLostTest(unittest.IsolatedAsyncioTestCase):
     async def test_configuration_is_in_force_in_time_though_the_reader_is_gone(self):
-        # Three entry hosts in one data centre; the one that reads for the others ends without a
-        # word, right before a key is taken away. The others notice its silence, read the store
-        # themselves, and have the change in force within its bound of 2 s.
+        # Of three entry hosts in one data centre, the reader stops without notice right before a
+        # key is removed. The others detect that it doesn't answer, read the store themselves, and
+        # apply the change within the bound of 2 s.
         site = StandInSite()
         await site.start(hosts=6, entries=3)
         self.addAsyncCleanup(site.stop)
@@ -487,7 +500,7 @@
         await until(lambda: all(e._catalog.version == 2 for e in others), 2.0)
 
     async def test_followers_ask_little_of_the_store(self):
-        # Benchmark: readings of the store by 3 hosts in 3 s. Each for itself: 18; one for all: 6.
+        # Reads of the store by 3 hosts in 3 s: 18 if each reads for itself, 6 with one reader.
         site = StandInSite()
         await site.start(hosts=6, entries=3)
         self.addAsyncCleanup(site.stop)
