--- a/src/oleanderhill/serving/__init__.py
+++ b/src/oleanderhill/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about requests that are forwarded as they are: routes, targets, retries, streams."""
+"""Handling of requests that are forwarded unchanged: routes, targets, retries and streams."""
--- a/src/oleanderhill/serving/forwarding.py
+++ b/src/oleanderhill/serving/forwarding.py
@@ -1,4 +1,4 @@
-"""What the driver of forwarded requests and the platform's adapter tell each other."""
+"""Interface between the driver of forwarded requests and the platform's header codec."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Facts(NamedTuple):
-    """What a request says of itself.
+    """The fields that are decoded from a request's headers.
 
-    :param patience: seconds for which the caller waits, ``None`` where it does not say
+    :param patience: caller timeout in seconds, ``None`` if the request does not state one
     :param key: API key, empty for none
-    :param model: which model is to answer, empty for a plain service
-    :param last_event: id of the last event of its stream that the caller has
+    :param model: requested model, empty for a plain service
+    :param last_event: id of the last event of the stream that the caller has received
     """
 
     request_id: str
@@ -25,11 +25,11 @@
 
 
 class NamedLimit(NamedTuple):
-    """The limit that a target names in a reply.
+    """The rate limit that a target states in a reply.
 
-    :param rate: requests a second that it takes from all entry hosts together, ``None`` where that
-        can't be read
-    :param text: as it came
+    :param rate: requests per second that the target accepts from all entry hosts together, ``None``
+        if the header can't be parsed
+    :param text: header value as received
     """
 
     rate: float | None
@@ -37,10 +37,12 @@
 
 
 class Notice(NamedTuple):
-    """What a target says of itself in whatever it answers.
+    """Hints about its own state that a target puts into the headers of any reply.
 
-    :param backoff: seconds for which it asks this host to send it nothing, ``None`` for none
-    :param leaving: it ends soon, and takes no further requests by then
+    :param limit: stated rate limit, ``None`` for none
+    :param backoff: seconds for which the target asks this host to send no requests, ``None`` for
+        none
+    :param leaving: whether the target is shutting down and will accept no further requests
     """
 
     limit: NamedLimit | None = None
@@ -49,11 +51,12 @@
 
 
 class Reading(NamedTuple):
-    """What a target's reply means.
+    """The meaning of a target's reply.
 
-    :param not_run: the target says that it did not run the request and will not
-    :param sealed: it bears the target's signature
-    :param own: it comes from the target that was asked, not from another at its address
+    :param not_run: whether the target states that it did not run the request and will not run it
+    :param sealed: whether the reply carries the target's signature
+    :param own: whether the reply comes from the target instance that the request was sent to, not
+        from another one at the same address
     """
 
     not_run: bool
@@ -63,10 +66,10 @@
 
 
 class Codec(Protocol):
-    """Decodes and writes headers."""
+    """Decodes and encodes the headers of requests and replies."""
 
     def read_request(self, headers: HTTPHeaders) -> Facts:
-        """Return what a request's headers say."""
+        """Decode the headers of a request."""
 
     def to_target(
         self,
@@ -77,16 +80,16 @@
         priority: int | None,
         last_event: int | None,
     ) -> HTTPHeaders:
-        """Return the headers with which a request goes to a target."""
+        """Return the headers of a request to a target."""
 
     def read_reply(self, status: int, headers: HTTPHeaders) -> Reading:
-        """Return what a reply's status and headers mean for the request."""
+        """Decode the status and headers of a reply."""
 
     def belongs(self, request_id: str, headers: HTTPHeaders) -> bool:
-        """Tell whether a reply answers this request."""
+        """Return whether a reply with these headers answers the request."""
 
     def to_caller(self, headers: HTTPHeaders) -> HTTPHeaders:
-        """Return the headers with which a target's answer goes to the caller."""
+        """Return the headers of a target's reply as they are sent to the caller."""
 
     def refusal(self, request_id: str, retry_after: float | None) -> Mapping[str, str]:
-        """Return the headers of an answer of our own."""
+        """Return the headers of a problem response that this host generates itself."""
--- a/src/oleanderhill/serving/front.py
+++ b/src/oleanderhill/serving/front.py
@@ -1,4 +1,4 @@
-"""The server towards callers for requests that are forwarded as they are, and its readiness."""
+"""HTTP server for callers whose requests are forwarded unchanged, with a readiness endpoint."""
 
 from __future__ import annotations
 
@@ -29,22 +29,26 @@
 from .incoming import Incoming
 
 IDLE_TIMEOUT = 30.0
-"""Seconds for which a caller's idle connection is kept: twice what callers use."""
+"""Seconds after which a caller's idle connection is closed: twice the callers' own idle timeout."""
+
+MAX_HEADER_BYTES = 64 * 1024
+"""Maximum bytes of a request's headers."""
 
-LONGEST_HEADER = 64 * 1024
 STOP_LISTENING_AFTER = 2.7
-"""Seconds after the stop order in which requests still come: the balancer asks once a second and
-takes this host out after two misses. What comes until then has five seconds to end."""
+"""Seconds after the shutdown request during which new connections are still accepted. The load
+balancer polls readiness once per second and removes this host after two failures. Requests accepted
+until then have five seconds to finish."""
 
 EXIT_MARGIN = 0.6
-"""Seconds before the end of the grace in which the process is gone by itself."""
+"""Seconds before the end of the grace period at which the process exits on its own."""
 
 
 class Serve(NamedTuple):
-    """What the front needs from the rest.
+    """Callbacks of the server into the rest of the process.
 
-    :param serve: runs a request to its final answer on a sink
-    :param ready: tells whether the balancer should send callers here
+    :param serve: handles a request and writes its final response to a sink
+    :param ready: returns whether the load balancer should send requests to this host
+    :param max_body: returns the maximum size of a request body in bytes
     """
 
     serve: Callable[[Incoming, str, str, CallerSink], Awaitable[None]]
@@ -53,7 +57,7 @@
 
 
 class CallerSink:
-    """Gives one caller its answer."""
+    """Writes the response to one caller."""
 
     def __init__(
         self, connection: HTTPConnection, codec: Codec, facts: Facts, front: Front
@@ -66,77 +70,77 @@
         self.finished = False
 
     def reply(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
-        """Give a whole answer."""
+        """Send a complete response."""
         headers["Content-Length"] = str(len(body))
-        self._head(status, headers, body)
+        self._write_head(status, headers, body)
         self.end()
 
     def begin(self, status: int, headers: HTTPHeaders) -> None:
-        """Begin a streamed answer."""
+        """Send the head of a streamed response."""
         self.begun = True
-        self._head(status, headers, None)
+        self._write_head(status, headers, None)
 
     def write(self, data: bytes) -> Awaitable[None] | None:
-        """Give a piece of a streamed answer; more may follow when the result is done."""
+        """Send a chunk of a streamed response; await the result, if any, before the next chunk."""
         flushed = self._connection.write(data)
-        return None if flushed.done() else _quietly(flushed)
+        return None if flushed.done() else _ignore_closed(flushed)
 
     def end(self) -> None:
-        """End a streamed answer as whole."""
+        """Finish a streamed response as complete."""
         self.finished = True
         self._connection.finish()
 
     def cut(self) -> None:
-        """End a streamed answer so that it can't be taken for whole: the last chunk is missing."""
+        """Close the connection before the last chunk, which marks the response as incomplete."""
         self.finished = True
         if isinstance(self._connection, HTTP1Connection):
             self._connection.close()
 
     def refuse(self, problem: Problem) -> None:
-        """Give a problem as the final answer."""
+        """Send a problem as the final response."""
         headers = HTTPHeaders()
         for name, value in self._codec.refusal(self._facts.request_id, problem.retry_after).items():
             headers[name] = value
         body = problem.as_body(self._facts.request_id)
         self.reply(problem.status, headers, json.dumps(body).encode())
 
-    def _head(self, status: int, headers: HTTPHeaders, body: bytes | None) -> None:
+    def _write_head(self, status: int, headers: HTTPHeaders, body: bytes | None) -> None:
         if self._front.stopping:
             headers["Connection"] = "close"
         start = ResponseStartLine("HTTP/1.1", status, responses.get(status, "Unknown"))
         written = self._connection.write_headers(start, headers, body)
-        written.add_done_callback(_take_note)
+        written.add_done_callback(_retrieve_exception)
 
 
-def _take_note(written: asyncio.Future[None]) -> None:
-    """A write to a caller that left fails; the exchange hears of it by the connection's end."""
+def _retrieve_exception(written: asyncio.Future[None]) -> None:
+    """Retrieve the exception of a failed write, as the close callback handles disconnects."""
     if not written.cancelled():
         written.exception()
 
 
-async def _quietly(flushed: asyncio.Future[None]) -> None:
+async def _ignore_closed(flushed: asyncio.Future[None]) -> None:
     try:
         await flushed
     except StreamClosedError:
         return
 
 
-class _Message(HTTPMessageDelegate):
-    """One request of a caller as it comes in."""
+class _CallerRequest(HTTPMessageDelegate):
+    """Receives one request of a caller."""
 
     def __init__(self, front: Front, connection: HTTPConnection, first: bool) -> None:
         self._front = front
         self._connection = connection
-        self._first = first
-        self._start = RequestStartLine("", "", "")
+        self._first_on_connection = first
+        self._start_line = RequestStartLine("", "", "")
         self._headers = HTTPHeaders()
         self._chunks: list[bytes] = []
         self._size = 0
         self._task: asyncio.Task[None] | None = None
-        self._arrived = 0.0
+        self._arrived_at = 0.0
         front.idle.add(self)
         if front.closing_idle:
-            # An answer that began before the stop order has just ended, and kept its connection.
+            # A response that started before the shutdown request left its connection open.
             self.close()
 
     def headers_received(
@@ -144,10 +148,10 @@
     ) -> None:
         assert isinstance(start_line, RequestStartLine)
         self._front.idle.discard(self)
-        self._front.underway.add(self)
-        self._start = start_line
+        self._front.requests_in_flight.add(self)
+        self._start_line = start_line
         self._headers = headers
-        self._arrived = time.monotonic()
+        self._arrived_at = time.monotonic()
 
     def data_received(self, chunk: bytes) -> None:
         self._size += len(chunk)
@@ -157,47 +161,48 @@
     def finish(self) -> None:
         front = self._front
         if isinstance(self._connection, HTTP1Connection) and self._connection.stream.closed():
-            # Read in the moment in which the connection was closed as an idle one: nobody is left
-            # to take the answer, and a target would work for it in vain.
-            front.underway.discard(self)
+            # The request was read while its connection was being closed as idle. No caller is left
+            # to receive the response, so a target would process it for nothing.
+            front.requests_in_flight.discard(self)
             return
         facts = front.codec.read_request(self._headers)
         sink = CallerSink(self._connection, front.codec, facts, front)
         if self._size > front.serving.max_body():
             sink.refuse(too_large(front.serving.max_body()))
-            front.underway.discard(self)
+            front.requests_in_flight.discard(self)
             return
         incoming = Incoming(
-            self._start.method,
-            self._start.path,
+            self._start_line.method,
+            self._start_line.path,
             self._headers,
             b"".join(self._chunks),
             facts,
-            self._arrived,
-            self._first,
+            self._arrived_at,
+            self._first_on_connection,
         )
         host = self._headers.get("Host", "")
-        path = self._start.path.partition("?")[0]
-        # The delegate hears of an end while the request comes in; of a later one only like this.
+        path = self._start_line.path.partition("?")[0]
+        # Tornado reports a disconnect to the delegate only until the request has been received; a
+        # later one is reported only to the close callback.
         if isinstance(self._connection, HTTP1Connection):
             self._connection.set_close_callback(self.on_connection_close)
         self._task = front.spawn(front.run(incoming, host, path, sink))
-        self._task.add_done_callback(lambda _: front.underway.discard(self))
+        self._task.add_done_callback(lambda _: front.requests_in_flight.discard(self))
 
     def on_connection_close(self) -> None:
         self._front.idle.discard(self)
         if self._task is None:
-            self._front.underway.discard(self)
+            self._front.requests_in_flight.discard(self)
         if self._task is not None:
             self._task.cancel()
 
     def close(self) -> None:
-        """Close the connection, on which no request has begun."""
+        """Close the connection, on which no request has started."""
         if isinstance(self._connection, HTTP1Connection):
             self._connection.close()
 
 
-class _Ready(HTTPMessageDelegate):
+class _ReadinessRequest(HTTPMessageDelegate):
     def __init__(self, front: Front, connection: HTTPConnection, first: bool) -> None:
         del first
         self._front = front
@@ -207,33 +212,36 @@
         status = 200 if self._front.ready else 503
         start = ResponseStartLine("HTTP/1.1", status, responses[status])
         headers = HTTPHeaders({"Content-Length": "0"})
-        self._connection.write_headers(start, headers, b"").add_done_callback(_take_note)
+        self._connection.write_headers(start, headers, b"").add_done_callback(_retrieve_exception)
         self._connection.finish()
 
 
-class _Server(HTTPServerConnectionDelegate):
-    """Makes a delegate for each request."""
+class _DelegateFactory(HTTPServerConnectionDelegate):
+    """Creates a delegate for each request."""
 
     def __init__(
-        self, front: Front, make: Callable[[Front, HTTPConnection, bool], HTTPMessageDelegate]
+        self,
+        front: Front,
+        make_delegate: Callable[[Front, HTTPConnection, bool], HTTPMessageDelegate],
     ) -> None:
         self._front = front
-        self._make = make
-        self._known: WeakSet[object] = WeakSet()
+        self._make_delegate = make_delegate
+        self._seen_connections: WeakSet[object] = WeakSet()
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        first = server_conn not in self._known
-        self._known.add(server_conn)
-        return self._make(self._front, request_conn, first)
+        first = server_conn not in self._seen_connections
+        self._seen_connections.add(server_conn)
+        return self._make_delegate(self._front, request_conn, first)
 
 
 class Front(Task):
-    """Owns the server towards callers and the requests in flight.
+    """Owns the server for callers and the requests in flight.
 
-    :param callers: ``ip:port`` for callers; ``balancer`` is where the balancer asks for readiness
-    :param grace: seconds between the stop order and the end of the process
+    :param callers: ``ip:port`` on which callers connect
+    :param balancer: ``ip:port`` on which the load balancer polls readiness
+    :param grace: seconds between the shutdown request and the forced end of the process
     """
 
     name = "front"
@@ -257,25 +265,25 @@
         self._records = records
         self.stopping = False
         self.closing_idle = False
-        self.underway: set[_Message] = set()
-        self.idle: WeakSet[_Message] = WeakSet()
+        self.requests_in_flight: set[_CallerRequest] = set()
+        self.idle: WeakSet[_CallerRequest] = WeakSet()
         self._servers: list[HTTPServer] = []
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen for callers and for the load balancer."""
         for address, delegate in (
-            (self._balancer, _Server(self, _Ready)),
-            (self._callers, _Server(self, _Message)),
+            (self._balancer, _DelegateFactory(self, _ReadinessRequest)),
+            (self._callers, _DelegateFactory(self, _CallerRequest)),
         ):
             server = HTTPServer(
-                delegate, max_header_size=LONGEST_HEADER, idle_connection_timeout=IDLE_TIMEOUT
+                delegate, max_header_size=MAX_HEADER_BYTES, idle_connection_timeout=IDLE_TIMEOUT
             )
             ip, port = address.rsplit(":", 1)
             server.listen(int(port), ip, backlog=1024)
             self._servers.append(server)
 
     async def stop(self) -> None:
-        """Close the servers."""
+        """Close the servers and all connections."""
         for server in self._servers:
             server.stop()
             await server.close_all_connections()
@@ -283,43 +291,44 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the requests whose head has come and whose answer has not ended.
+        """Return the number of requests with received headers and an unfinished response.
 
-        They count from their head on. Counted from the start of their task, one that came in the
-        moment in which a drain saw none was cut by the end of the process, its target at work.
+        Requests count from the receipt of their headers. Counting them from the start of their task
+        let a drain miss a request that was still being received: the process exited and aborted it
+        while its target was processing it.
         """
-        return len(self.underway)
+        return len(self.requests_in_flight)
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Whether the load balancer should send requests to this host."""
         return not self.stopping and self.serving.ready()
 
     async def drain(self) -> None:
-        """Take no new callers, and return when the requests in flight have ended.
+        """Stop accepting callers, and return when the requests in flight have finished.
 
-        Readiness goes first. Connections go on being taken until the balancer has surely noticed:
-        one that is refused loses a request. From the stop order on each answer ends its
-        connection, so that callers come back through the balancer.
+        Readiness is withdrawn first. Connections are accepted until the load balancer has certainly
+        noticed, as a refused connection is a lost request. From the shutdown request on, each
+        response closes its connection, so that callers reconnect through the load balancer.
         """
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.stopping = True
         self._records.note("process", "draining", in_flight=self.in_flight)
         await asyncio.sleep(STOP_LISTENING_AFTER)
         self._servers[1].stop()
-        # A request on a connection that is kept after this would be cut by the process's end.
+        # A request on a connection that stays open would be aborted when the process exits.
         self.closing_idle = True
         for message in list(self.idle):
             message.close()
-        while self.in_flight and time.monotonic() - began < self._grace - EXIT_MARGIN:
+        while self.in_flight and time.monotonic() - started_at < self._grace - EXIT_MARGIN:
             await asyncio.sleep(0.05)
         self._records.note("process", "drained", in_flight=self.in_flight)
 
     async def run(self, incoming: Incoming, host: str, path: str, sink: CallerSink) -> None:
-        """Run a request to its final answer; every failure gets one."""
+        """Handle a request up to its final response, which it gets on any failure too."""
         try:
             await self.serving.serve(incoming, host, path, sink)
-        except Exception as error:  # a fault of ours must not leave the caller without an answer
+        except Exception as error:  # an internal error must not leave the caller without a response
             self.failed(error)
             detail = f"{type(error).__name__}: {error}"
             self._records.request(incoming.facts.request_id, "internal", False, reason=detail)
--- a/src/oleanderhill/serving/gossip.py
+++ b/src/oleanderhill/serving/gossip.py
@@ -1,7 +1,8 @@
-"""Datagrams among entry hosts: how many requests each has at which target, and what stalls.
+"""Exchange of target load and state among entry hosts, by UDP datagrams.
 
-A count that is lost is replaced by the next one a moment later, so datagrams fit better than
-connections: nothing queues up for a peer that is slow, and there is nothing to reconnect.
+Each report replaces the previous one, so a lost report is superseded within an interval. Datagrams
+therefore suit better than connections: no backlog builds up for a slow peer, and nothing has to
+reconnect.
 """
 
 from __future__ import annotations
@@ -21,48 +22,49 @@
 from .placing import PEER_COUNTS_LAST, LoadBook
 from .quarantine import QuarantineTask
 from .reports import (
-    MESH_MOST,
+    MAX_MESH_HOSTS,
     Audience,
     LoadReport,
     Scope,
-    add_up,
-    aged,
+    add_age,
+    aggregate,
+    aggregator_rankings,
     audience,
-    hub_rankings,
-    in_parts,
-    without,
+    split_report,
+    subtract,
 )
 from .retries import SharedRetryBudget
 from .target_limits import TargetLimitTask
 
 EVERY = 0.05
-"""Seconds between two reports: by them a silent target is told from a busy one, and a stream that
-stalls has 0.2 s to go on elsewhere. A report costs about 30 us at each end."""
+"""Seconds between two reports. Reports distinguish a stalled target from a busy one, and a stalled
+stream has 0.2 s to resume elsewhere. A report costs about 30 us at each end."""
 
-HUB_SILENT = 0.3
-"""Seconds without a total after which the next hub is told too: five totals lost in a row. The
-counts held run out after twice that."""
+AGGREGATOR_TIMEOUT = 0.3
+"""Seconds without a total after which reports also go to the backup aggregator: five totals lost in
+a row. Peer counts expire after twice that time."""
 
-IDLE_EVERY = 0.4
-"""Seconds between two reports of a host without requests. It stays subscribed to the totals, so
-that it places its next request as well as the others do."""
+IDLE_REPORT_INTERVAL = 0.4
+"""Seconds between two reports of a host without requests. They keep it subscribed to the totals, so
+that it has current load data when its next request arrives."""
 
-ENDINGS_EVERY = 0.1
-"""Seconds between two tellings of targets that ended: from one entry host to all among 195 it takes
-three of them, well under the seconds in which a request comes again."""
+CRASH_UPDATE_INTERVAL = 0.1
+"""Seconds between two updates about crashed targets. Among 195 entry hosts, an update reaches all
+of them in three intervals, well before the caller retries a crash-causing request."""
 
-ENDINGS_AGAIN = 2.0
-"""Seconds until what was told before is told again, to those that restarted or were cut off."""
+CRASH_RESEND_INTERVAL = 2.0
+"""Seconds after which crash updates are resent, for peers that restarted or were partitioned."""
 
-OUT_OF_TOUCH = 1.0
-"""Seconds without a word from any other entry host after which this one is on its own: an idle one
-reports twice in that time."""
+ISOLATION_TIMEOUT = 1.0
+"""Seconds without a datagram from any other entry host after which this host considers itself
+isolated. An idle host sends two reports in that time."""
 
-HOPS_OF_TOTAL = 3
-"""Reports one after the other by which a total is late: to a hub, to another hub, to all."""
+TOTAL_HOPS = 3
+"""Number of report intervals by which a total lags: host to aggregator, aggregator to aggregator,
+aggregator to hosts."""
 
 
-class _Heard(NamedTuple):
+class _Received(NamedTuple):
     at: float
     report: LoadReport
 
@@ -72,20 +74,20 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, take: Callable[[bytes], None]) -> None:
-        self._take = take
+    def __init__(self, on_datagram: Callable[[bytes], None]) -> None:
+        self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._take(data)
+        self._on_datagram(data)
 
 
 class GossipTask(Task):
-    """Owns the datagram socket towards the other entry hosts.
+    """Owns the datagram socket to the other entry hosts.
 
-    :param peers: returns the entry hosts that are there, the same mapping until they change
+    :param peers: returns the live entry hosts, the same mapping object until they change
     :param budgets: the retry budgets of this host, by service
-    :param limits: hears of limits that targets named to others
-    :param leaving: hears of targets that told others that they leave
+    :param limits: receives rate limits that targets stated to other entry hosts
+    :param leaving: receives targets that announced their shutdown to other entry hosts
     """
 
     name = "gossip"
@@ -95,7 +97,7 @@
         self,
         kernel: Kernel,
         me: Presence,
-        book: LoadBook,
+        load_tracker: LoadBook,
         peers: Callable[[], Mapping[str, Presence]],
         quarantine: QuarantineTask,
         budgets: Mapping[str, SharedRetryBudget],
@@ -106,27 +108,27 @@
         self._quarantine = quarantine
         self._leaving = leaving
         self._limits = limits
-        self._heard_at = float("-inf")
+        self._last_received_at = float("-inf")
         self._budgets = budgets
-        self._endings_at = float("-inf")
-        self._endings_again_at = float("-inf")
+        self._crash_update_at = float("-inf")
+        self._crash_resend_at = float("-inf")
         self._me = me
-        self._book = book
+        self._tracker = load_tracker
         self._peers = peers
         self._transport: asyncio.DatagramTransport | None = None
         self._reported_at = float("-inf")
-        self._mesh = True
-        self._total_at = time.monotonic()
+        self._full_mesh = True
+        self._total_received_at = time.monotonic()
         self._own = self._own_report(time.monotonic())
-        # What a total holds of this host is one report old.
+        # A total contains this host's previous report.
         self._own_in_total = self._own
-        self._near: dict[tuple[str, int], _Heard] = {}
-        self._far: dict[tuple[str, int], _Heard] = {}
+        self._local_reports: dict[tuple[str, int], _Received] = {}
+        self._remote_sums: dict[tuple[str, int], _Received] = {}
         self._alive: Mapping[str, Presence] = {}
         self._rankings: Mapping[str, tuple[str, ...]] = {}
 
     async def start(self) -> None:
-        """Listen, and start to report."""
+        """Open the socket and start to send reports."""
         ip, port = self._me.address.rsplit(":", 1)
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
@@ -141,68 +143,72 @@
             self._transport.close()
 
     async def tick(self) -> None:
-        """Report to whom it concerns."""
+        """Send all reports and updates that are due."""
         now = time.monotonic()
         alive = self._peers()
         if alive is not self._alive:
-            self._alive, self._rankings = alive, hub_rankings(alive)
-        self._forget(now)
-        in_touch = len(alive) <= 1 or now - self._heard_at < OUT_OF_TOUCH
-        self._limits.reach(alive, in_touch)
-        self._mesh = len(alive) <= MESH_MOST
-        near = {sender for sender, _ in self._near}
-        hub_silent = now - self._total_at > HUB_SILENT
-        hubs_heard = sorted({heard.report.sender for heard in self._far.values()})
-        to = audience(self._me, alive, self._rankings, near, hub_silent, hubs_heard)
+            self._alive, self._rankings = alive, aggregator_rankings(alive)
+        self._expire_reports(now)
+        connected = len(alive) <= 1 or now - self._last_received_at < ISOLATION_TIMEOUT
+        self._limits.reach(alive, connected)
+        self._full_mesh = len(alive) <= MAX_MESH_HOSTS
+        reporters = {sender for sender, _ in self._local_reports}
+        aggregator_silent = now - self._total_received_at > AGGREGATOR_TIMEOUT
+        remote_senders = sorted({received.report.sender for received in self._remote_sums.values()})
+        to = audience(self._me, alive, self._rankings, reporters, aggregator_silent, remote_senders)
         self._own_in_total, self._own = self._own, self._own_report(now)
         own = self._own
-        busy = own.counts or own.suspects or own.turned_away or own.backing_off
-        if busy or now - self._reported_at >= IDLE_EVERY:
+        has_news = own.counts or own.suspects or own.turned_away or own.backing_off
+        if has_news or now - self._reported_at >= IDLE_REPORT_INTERVAL:
             self._reported_at = now
             self._send(self._own, to.own, alive)
         if to.hubs or to.neighbours:
-            self._tell_sums(now, to, alive)
-        for news in (*self._limits.news(), *self._leaving.news(self._me.name)):
-            self._send_to(_ENCODER.encode(news), to.all, alive)
-        if now - self._endings_at >= ENDINGS_EVERY:
-            self._endings_at = now
-            self._tell_endings(now, to, alive)
-
-    def _tell_endings(self, now: float, to: Audience, alive: Mapping[str, Presence]) -> None:
-        """Tell of targets that ended and who is quarantined for it, to those who get the counts.
-
-        Each tells all that it knows, also what it heard: sums of sets, they come through whatever
-        way there is, and a hub passes them on without knowing what they mean.
+            self._send_aggregates(now, to, alive)
+        for update in (*self._limits.news(), *self._leaving.news(self._me.name)):
+            self._send_to(_ENCODER.encode(update), to.all, alive)
+        if now - self._crash_update_at >= CRASH_UPDATE_INTERVAL:
+            self._crash_update_at = now
+            self._send_crash_updates(now, to, alive)
+
+    def _send_crash_updates(self, now: float, to: Audience, alive: Mapping[str, Presence]) -> None:
+        """Send crashed targets and quarantined requests to the recipients of the load reports.
+
+        Each host sends everything it knows, including what it received from peers. The updates are
+        unions of sets, so they spread over any path, and an aggregator forwards them without
+        interpreting them.
         """
-        again = now - self._endings_again_at >= ENDINGS_AGAIN
-        if again:
-            self._endings_again_at = now
-        for part in self._quarantine.news(again):
+        resend = now - self._crash_resend_at >= CRASH_RESEND_INTERVAL
+        if resend:
+            self._crash_resend_at = now
+        for part in self._quarantine.news(resend):
             self._send_to(_ENCODER.encode(part), to.all, alive)
 
     def _own_report(self, now: float) -> LoadReport:
-        book = self._book
+        tracker = self._tracker
         return LoadReport(
             self._me.name,
             Scope.OWN,
             self._me.data_centre,
             0,
-            dict(book.own),
-            book.own_suspects(now),
-            book.own_progress(now),
-            book.own_turned_away(now),
+            dict(tracker.own),
+            tracker.own_suspects(now),
+            tracker.own_progress(now),
+            tracker.own_turned_away(now),
             {service: budget.own(now) for service, budget in self._budgets.items()},
-            book.own_backoffs(now),
+            tracker.own_backoffs(now),
         )
 
-    def _tell_sums(self, now: float, to: Audience, alive: Mapping[str, Presence]) -> None:
-        """Act as the hub of this data centre."""
+    def _send_aggregates(self, now: float, to: Audience, alive: Mapping[str, Presence]) -> None:
+        """Send the sum of this data centre and the total, as its aggregator."""
         me = self._me
-        near = [self._own, *(aged(h.report, now - h.at) for h in self._near.values())]
-        local = add_up(me.name, Scope.DATA_CENTRE, me.data_centre, near)
-        far = [aged(h.report, now - h.at) for h in self._far.values()]
-        total = add_up(me.name, Scope.TOTAL, me.data_centre, [local, *far])
-        self._send(local, to.hubs, alive)
+        local_reports = [
+            self._own,
+            *(add_age(r.report, now - r.at) for r in self._local_reports.values()),
+        ]
+        local_sum = aggregate(me.name, Scope.DATA_CENTRE, me.data_centre, local_reports)
+        remote_sums = [add_age(r.report, now - r.at) for r in self._remote_sums.values()]
+        total = aggregate(me.name, Scope.TOTAL, me.data_centre, [local_sum, *remote_sums])
+        self._send(local_sum, to.hubs, alive)
         self._send(total, to.neighbours, alive)
         self._take_total(total, self._own, now)
 
@@ -210,7 +216,7 @@
         self, report: LoadReport, names: Iterable[str], alive: Mapping[str, Presence]
     ) -> None:
         to = tuple(names)
-        for part in in_parts(report) if to else ():
+        for part in split_report(report) if to else ():
             self._send_to(_ENCODER.encode(part), to, alive)
 
     def _send_to(self, data: bytes, names: Iterable[str], alive: Mapping[str, Presence]) -> None:
@@ -221,19 +227,19 @@
                 ip, port = alive[name].address.rsplit(":", 1)
                 self._transport.sendto(data, (ip, int(port)))
 
-    def _forget(self, now: float) -> None:
-        self._book.forget_peers(now)
-        for heard in (self._near, self._far):
-            for key in [k for k, h in heard.items() if now - h.at > PEER_COUNTS_LAST]:
-                del heard[key]
+    def _expire_reports(self, now: float) -> None:
+        self._tracker.forget_peers(now)
+        for reports in (self._local_reports, self._remote_sums):
+            for key in [k for k, r in reports.items() if now - r.at > PEER_COUNTS_LAST]:
+                del reports[key]
 
     def _hear(self, data: bytes) -> None:
         try:
             report = _DECODER.decode(data)
         except msgspec.DecodeError:
-            # Anybody may send datagrams here; what is not a report says nothing.
+            # The port accepts datagrams from any sender; ignore those that are not valid messages.
             return
-        now = self._heard_at = time.monotonic()
+        now = self._last_received_at = time.monotonic()
         if isinstance(report, EndingNews):
             self._quarantine.hear(report)
             return
@@ -246,23 +252,23 @@
         if report.scope == Scope.TOTAL:
             self._take_total(report, self._own_in_total, now)
         elif report.scope == Scope.DATA_CENTRE:
-            self._far[report.data_centre, report.part] = _Heard(now, report)
+            self._remote_sums[report.data_centre, report.part] = _Received(now, report)
         else:
             if report.data_centre == self._me.data_centre:
-                self._near[report.sender, report.part] = _Heard(now, report)
-            if self._mesh:
-                self._take(f"{report.sender}/{report.part}", report, now)
+                self._local_reports[report.sender, report.part] = _Received(now, report)
+            if self._full_mesh:
+                self._apply_report(f"{report.sender}/{report.part}", report, now)
 
     def _take_total(self, total: LoadReport, own: LoadReport, now: float) -> None:
-        self._total_at = now
-        self._book.heard_later = HOPS_OF_TOTAL * EVERY
-        self._take(f"total/{total.part}", without(total, own), now)
+        self._total_received_at = now
+        self._tracker.heard_later = TOTAL_HOPS * EVERY
+        self._apply_report(f"total/{total.part}", subtract(total, own), now)
 
-    def _take(self, peer: str, report: LoadReport, now: float) -> None:
-        self._book.hear(
+    def _apply_report(self, peer: str, report: LoadReport, now: float) -> None:
+        self._tracker.hear(
             peer, report.counts, report.suspects, report.progress, report.turned_away, now
         )
-        self._book.hear_backoffs(report.backing_off, now)
+        self._tracker.hear_backoffs(report.backing_off, now)
         for service, count in report.retries.items():
             if service in self._budgets:
                 self._budgets[service].hear(peer, count, now)
--- a/src/oleanderhill/serving/reports.py
+++ b/src/oleanderhill/serving/reports.py
@@ -1,9 +1,11 @@
-"""What entry hosts tell each other of their load, how reports add up, and who tells whom.
-
-A few entry hosts each tell all others. Among many that costs the square of their number: at ninety
-it would be 160,000 datagrams a second. There, one host in each data centre adds up
-the reports of its neighbours, swaps sums with those of the other data centres, and tells its
-neighbours the total: each host sends one report, and gets one, whatever their number.
+"""Load reports among entry hosts: their content, aggregation and recipients.
+
+A small number of entry hosts forms a full mesh, in which each host sends its report to all others.
+The traffic of a mesh grows with the square of the number of hosts: 90 hosts would send 160,000
+datagrams per second. Above :data:`MAX_MESH_HOSTS`, one host per data centre, the aggregator, sums
+the reports of its data centre, exchanges sums with the aggregators of the other data centres and
+sends the total to its local hosts. Each host then sends and receives one report per interval,
+whatever the number of hosts.
 """
 
 from __future__ import annotations
@@ -15,19 +17,19 @@
 from ..groups.ownership import Presence, ranked
 from .retries import RetryCount, counted
 
-MESH_MOST = 12
-"""Entry hosts up to which each tells all others; news is one hop old then."""
+MAX_MESH_HOSTS = 12
+"""Largest number of entry hosts that form a full mesh, in which reports are one hop old."""
 
-PART_BYTES = 1100
-"""Bytes of the rows of one datagram: with the sender's name, what was turned away by model and the
-retries of some services, a datagram stays under 1,400 and fits into one frame."""
+MAX_ROWS_BYTES = 1100
+"""Maximum bytes of the rows in one datagram. With the sender's name, the rejected requests by model
+and the retries of some services, a datagram stays below 1,400 bytes and fits into one frame."""
 
-ROW_BYTES = 14
-"""Bytes of a row beside its target's name, which stands in it twice: a count and an age."""
+ROW_OVERHEAD_BYTES = 14
+"""Bytes of a row without the target's name, which occurs twice: with a count and with an age."""
 
 
 class Scope(StrEnum):
-    """Whose load a report is about."""
+    """The entry hosts whose load a report covers."""
 
     OWN = "own"
     DATA_CENTRE = "data centre"
@@ -35,16 +37,18 @@
 
 
 class LoadReport(NamedTuple):
-    """What one entry host, or several, have with targets.
+    """The load that one or several entry hosts put on targets, and the state of these targets.
 
-    :param sender: name of the entry host that sends it
-    :param part: of a report that takes several datagrams; each part replaces the one before it
+    :param sender: name of the entry host that sends the report
+    :param part: number of the datagram in a report that takes several; a newer datagram replaces
+        the earlier one with the same number
     :param counts: requests in flight by target
-    :param suspects: targets that were seen to stall
-    :param progress: seconds since a target last sent something, by target
-    :param turned_away: requests that found no target in the last second, by model
-    :param retries: requests and retries of the running window, by service
-    :param backing_off: lives that asked a sender to leave them alone
+    :param suspects: targets that were observed to stall
+    :param progress: seconds since a target last sent data, by target
+    :param turned_away: requests rejected in the last second because no target was available, by
+        model
+    :param retries: requests and retries in the sliding window, by service
+    :param backing_off: target incarnations that asked a sender to back off
     """
 
     sender: str
@@ -60,11 +64,11 @@
 
 
 class Audience(NamedTuple):
-    """To whom an entry host sends what.
+    """The entry hosts to which a host sends its reports.
 
-    :param own: get its own report
-    :param hubs: get the sum of its data centre
-    :param neighbours: get the total
+    :param own: receive the host's own report
+    :param hubs: aggregators of other data centres, receive the sum of the host's data centre
+    :param neighbours: hosts of the same data centre, receive the total
     """
 
     own: tuple[str, ...] = ()
@@ -73,18 +77,18 @@
 
     @property
     def all(self) -> tuple[str, ...]:
-        """Return all who are sent anything."""
+        """All recipients of any report."""
         return (*self.own, *self.hubs, *self.neighbours)
 
 
 def hub_ranking(data_centre: str, alive: Mapping[str, Presence]) -> tuple[str, ...]:
-    """Return the first two entry hosts that add up a data centre's reports, best first."""
-    near = [p for p in alive.values() if p.data_centre == data_centre]
-    return ranked(f"hub/{data_centre}", near, 2)
+    """Return the aggregator of a data centre and its backup."""
+    local = [p for p in alive.values() if p.data_centre == data_centre]
+    return ranked(f"hub/{data_centre}", local, 2)
 
 
-def hub_rankings(alive: Mapping[str, Presence]) -> dict[str, tuple[str, ...]]:
-    """Return the first two entry hosts that add up each data centre's reports, best first."""
+def aggregator_rankings(alive: Mapping[str, Presence]) -> dict[str, tuple[str, ...]]:
+    """Return the aggregator and its backup for each data centre."""
     return {d: hub_ranking(d, alive) for d in sorted({p.data_centre for p in alive.values()})}
 
 
@@ -93,33 +97,34 @@
     alive: Mapping[str, Presence],
     rankings: Mapping[str, tuple[str, ...]],
     reporters: Iterable[str],
-    hub_silent: bool,
-    hubs_heard: Iterable[str] = (),
+    aggregator_silent: bool,
+    remote_senders: Iterable[str] = (),
 ) -> Audience:
-    """Return to whom a host sends what now.
-
-    :param rankings: :func:`hub_rankings` of those alive
-    :param reporters: hosts of this data centre that sent their own reports here lately
-    :param hub_silent: nothing came from this data centre's hub lately; the next one is told too
-    :param hubs_heard: hosts that sent the sum of another data centre here lately, which the next
-        one does where the first is gone
+    """Return the current recipients of a host's reports.
+
+    :param rankings: result of :func:`aggregator_rankings` for the live entry hosts
+    :param reporters: hosts of this data centre that recently sent their own reports to this host
+    :param aggregator_silent: whether this data centre's aggregator timed out; the backup then
+        receives the reports too
+    :param remote_senders: hosts that recently sent this host the sum of another data centre;
+        includes a backup that has replaced a failed aggregator
     """
-    if len(alive) <= MESH_MOST:
+    if len(alive) <= MAX_MESH_HOSTS:
         return Audience(own=tuple(n for n in alive if n != me.name))
-    near_hubs = rankings.get(me.data_centre, ())
+    ranking = rankings.get(me.data_centre, ())
     neighbours = tuple(n for n in reporters if n in alive)
-    if me.name in near_hubs[:1] or neighbours:
-        first = [h for d, r in rankings.items() if d != me.data_centre for h in r[:1]]
-        hubs = dict.fromkeys([*first, *(h for h in hubs_heard if h in alive)])
+    if me.name in ranking[:1] or neighbours:
+        remote = [h for d, r in rankings.items() if d != me.data_centre for h in r[:1]]
+        hubs = dict.fromkeys([*remote, *(h for h in remote_senders if h in alive)])
         return Audience(hubs=tuple(hubs), neighbours=neighbours)
-    asked = near_hubs if hub_silent else near_hubs[:1]
-    return Audience(own=tuple(n for n in asked if n != me.name))
+    recipients = ranking if aggregator_silent else ranking[:1]
+    return Audience(own=tuple(n for n in recipients if n != me.name))
 
 
-def add_up(
+def aggregate(
     sender: str, scope: Scope, data_centre: str, reports: Iterable[LoadReport]
 ) -> LoadReport:
-    """Return the sum of reports: counts are added, of progress the latest holds."""
+    """Aggregate reports: sum the counts, keep the latest progress and all suspects."""
     counts: dict[str, int] = {}
     suspects: set[str] = set()
     progress: dict[str, float] = {}
@@ -133,11 +138,11 @@
             progress[target] = min(age, progress.get(target, age))
         for model, count in report.turned_away.items():
             turned_away[model] = turned_away.get(model, 0) + count
-        for service, spent in report.retries.items():
-            retries.setdefault(service, []).append(spent)
+        for service, retry_count in report.retries.items():
+            retries.setdefault(service, []).append(retry_count)
         suspects.update(report.suspects)
         backing_off.update(report.backing_off)
-    spent_by_service = {s: counted(c) for s, c in retries.items()}
+    retries_by_service = {s: counted(c) for s, c in retries.items()}
     return LoadReport(
         sender,
         scope,
@@ -147,25 +152,27 @@
         sorted(suspects),
         progress,
         turned_away,
-        spent_by_service,
+        retries_by_service,
         sorted(backing_off),
     )
 
 
-def without(total: LoadReport, own: LoadReport) -> LoadReport:
-    """Return a total less what one host last reported of itself."""
+def subtract(total: LoadReport, own: LoadReport) -> LoadReport:
+    """Return a total minus the contribution that one host last reported."""
     counts = {t: max(0, n - own.counts.get(t, 0)) for t, n in total.counts.items()}
     turned_away = {m: max(0, n - own.turned_away.get(m, 0)) for m, n in total.turned_away.items()}
-    retries = {s: _less(c, own.retries.get(s, RetryCount())) for s, c in total.retries.items()}
+    retries = {
+        s: _subtract_retries(c, own.retries.get(s, RetryCount())) for s, c in total.retries.items()
+    }
     return total._replace(counts=counts, turned_away=turned_away, retries=retries)
 
 
-def _less(count: RetryCount, own: RetryCount) -> RetryCount:
+def _subtract_retries(count: RetryCount, own: RetryCount) -> RetryCount:
     return RetryCount(*(max(0, a - b) for a, b in zip(count, own, strict=True)))
 
 
-def in_parts(report: LoadReport) -> list[LoadReport]:
-    """Return a report as parts that each fit into one datagram."""
+def split_report(report: LoadReport) -> list[LoadReport]:
+    """Split a report into parts that each fit into one datagram."""
     suspects, backing_off = set(report.suspects), set(report.backing_off)
     return [
         report._replace(
@@ -182,22 +189,22 @@
 
 
 def _chunks(report: LoadReport) -> list[list[str]]:
-    """Return the targets of a report by the datagram that they go into."""
+    """Return the targets of a report, grouped by datagram."""
     chunks: list[list[str]] = [[]]
     size = 0
-    named = {*report.counts, *report.progress, *report.suspects, *report.backing_off}
-    for target in sorted(named):
-        row = 2 * len(target) + ROW_BYTES
-        if size + row > PART_BYTES:
+    targets = {*report.counts, *report.progress, *report.suspects, *report.backing_off}
+    for target in sorted(targets):
+        row_bytes = 2 * len(target) + ROW_OVERHEAD_BYTES
+        if size + row_bytes > MAX_ROWS_BYTES:
             chunks.append([])
             size = 0
         chunks[-1].append(target)
-        size += row
+        size += row_bytes
     return chunks
 
 
-def aged(report: LoadReport, seconds: float) -> LoadReport:
-    """Return a report whose news are older by some seconds."""
+def add_age(report: LoadReport, seconds: float) -> LoadReport:
+    """Return a report with the age of its progress increased by some seconds."""
     return report._replace(
         progress={t: round(age + seconds, 3) for t, age in report.progress.items()}
     )
--- a/src/oleanderhill/serving/tools.py
+++ b/src/oleanderhill/serving/tools.py
@@ -1,4 +1,4 @@
-"""What all forwarded requests of a process share."""
+"""Dependencies that all forwarded requests of a process share."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 
 class Tools(NamedTuple):
-    """What all requests of a process share.
+    """Dependencies that all forwarded requests of a process share.
 
-    :param candidates: returns the targets that serve a service and model now
-    :param waiting: returns how many requests may wait at a model's group for the last to be on time
-        by a goal, in parts of its slots, ``None`` where that is not known
-    :param come_back: returns the seconds after which a refused caller may come back to them
-    :param report: takes route, outcome and seconds of a request that has ended
+    :param candidates: returns the targets that currently serve a service and model
+    :param waiting: returns how many requests may queue at a group of a model such that the last one
+        still meets a latency goal, as a fraction of its slots; ``None`` if unknown
+    :param come_back: returns the seconds after which a rejected caller may retry, by service and
+        model
+    :param report: records route, outcome and duration in seconds of a finished request
     """
 
     codec: Codec
--- a/src/oleanderhill/serving/view.py
+++ b/src/oleanderhill/serving/view.py
@@ -1,4 +1,4 @@
-"""The targets that serve each service now, worked out anew whenever plans or hosts change."""
+"""The targets that currently serve each service, recomputed when plans or hosts change."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from .prediction import Prediction, may_wait, predict
 
 DEMAND_SMOOTHING = 0.15
-"""Weight of the newest count of requests in flight: with a reading of the store every 0.65 s, the
-mean is over about four seconds, several streams long."""
+"""Weight of the newest sample of requests in flight in the moving average. With one sample per
+store poll, every 0.65 s, the average covers about four seconds, the duration of several streams."""
 
-EXPECTED_PART = 0.4
-"""Part of the groups that all hosts could make up, shared out as the configuration expects the work
-to be, that counts as filled without any load. Before the first request it alone decides; later it
-keeps small counts from turning the mix over."""
+EXPECTED_DEMAND_WEIGHT = 0.4
+"""Fraction of the groups that all hosts could form, divided by the expected traffic shares of the
+configuration, that counts as occupied without any load. Before the first request it alone
+determines the demand; later it keeps small request counts from changing the mix of models."""
 
 
-class _Served(NamedTuple):
-    """The candidates of a domain by model, and of which plan and hosts they were worked out."""
+class _DomainCandidates(NamedTuple):
+    """The candidates of a domain by model, with the inputs that they were computed from."""
 
     plan: DomainPlan
     host_change: int
@@ -36,7 +36,7 @@
 class ServingView:
     """Targets by service and model.
 
-    Of many domains few change between two readings, and only these are worked out anew.
+    Few of many domains change between two polls of the store, and only those are recomputed.
     """
 
     def __init__(
@@ -45,8 +45,8 @@
         self._inventory = inventory
         self._plans = plans
         self._rng = rng
-        self._served_by_key: dict[str, _Served] = {}
-        self._seen: tuple[int, int, Catalog | None] | None = None
+        self._candidates_by_key: dict[str, _DomainCandidates] = {}
+        self._inputs: tuple[int, int, Catalog | None] | None = None
         self._by_model: Mapping[str, Sequence[Candidate]] = {}
         self._by_service: Mapping[str, Sequence[Candidate]] = {}
         self._demand_by_model: dict[str, float] = {}
@@ -55,80 +55,86 @@
         self._slots = 1
 
     def refresh(self, catalog: Catalog | None) -> bool:
-        """Work out the targets anew; return whether there was anything new to work them out of."""
-        seen = (self._inventory.changes, self._plans.changes, catalog)
-        if self._seen is not None and seen[:2] == self._seen[:2] and catalog is self._seen[2]:
+        """Recompute the targets if their inputs changed; return whether they did."""
+        inputs = (self._inventory.changes, self._plans.changes, catalog)
+        if (
+            self._inputs is not None
+            and inputs[:2] == self._inputs[:2]
+            and catalog is self._inputs[2]
+        ):
             return False
-        self._seen = seen
+        self._inputs = inputs
         self._refresh_groups()
-        self._refresh_plain(catalog)
+        self._refresh_plain_services(catalog)
         return True
 
     def _refresh_groups(self) -> None:
         plan_by_key = self._plans.by_key
-        self._served_by_key = {k: s for k, s in self._served_by_key.items() if k in plan_by_key}
+        self._candidates_by_key = {
+            k: s for k, s in self._candidates_by_key.items() if k in plan_by_key
+        }
         by_model: dict[str, list[Candidate]] = {}
         for key, plan in plan_by_key.items():
-            for model, found in self._served(key, plan).by_model.items():
-                by_model.setdefault(model, []).extend(found)
+            for model, candidates in self._domain_candidates(key, plan).by_model.items():
+                by_model.setdefault(model, []).extend(candidates)
         self._by_model = by_model
 
-    def _served(self, key: str, plan: DomainPlan) -> _Served:
+    def _domain_candidates(self, key: str, plan: DomainPlan) -> _DomainCandidates:
         host_change = self._inventory.last_change(plan.domain)
-        held = self._served_by_key.get(key)
-        if held is not None and held.plan is plan and held.host_change == host_change:
-            return held
+        cached = self._candidates_by_key.get(key)
+        if cached is not None and cached.plan is plan and cached.host_change == host_change:
+            return cached
         groups_by_model = serving_groups([plan], self._inventory)
         by_model = {
-            model: [Candidate(g.group.name, g.head, _others(g)) for g in groups]
+            model: [Candidate(g.group.name, g.head, _other_members(g)) for g in groups]
             for model, groups in groups_by_model.items()
         }
-        self._served_by_key[key] = served = _Served(plan, host_change, by_model)
-        return served
+        self._candidates_by_key[key] = computed = _DomainCandidates(plan, host_change, by_model)
+        return computed
 
-    def _refresh_plain(self, catalog: Catalog | None) -> None:
+    def _refresh_plain_services(self, catalog: Catalog | None) -> None:
         plain: dict[str, list[Candidate]] = {}
         for host in self._inventory.in_domain("").values():
             if not host.leaving:
                 plain.setdefault(host.service, []).append(Candidate(str(host.instance), host))
         if catalog is not None:
-            # An entry of an engine service without a domain names no engine. Taken for a plain
-            # target, it alone would get all the service's requests.
+            # A host of an engine service that has no domain is not an engine. Treated as a plain
+            # target, it would receive all requests of the service.
             for service in catalog.service_by_name.values():
                 if service.engine is not None:
                     plain.pop(service.name, None)
-            self._expected_by_model = self._expected(catalog)
-            self._prediction_by_model = _predictions(catalog)
+            self._expected_by_model = self._expected_groups(catalog)
+            self._prediction_by_model = _predict_all(catalog)
         self._by_service = plain
 
-    def _expected(self, catalog: Catalog) -> Mapping[str, float]:
-        """Return how many groups of each model the hosts would make up by the expected work.
+    def _expected_groups(self, catalog: Catalog) -> Mapping[str, float]:
+        """Return how many groups of each model the hosts would form at the expected traffic shares.
 
-        Its shares are taken as shares of the hosts, whatever a model's size.
+        A traffic share is taken as a share of the hosts, whatever the size of the model.
         """
         expected: dict[str, float] = {}
         for service in catalog.service_by_name.values():
             if service.engine is None:
                 continue
             models = service.engine.model_by_name.values()
-            shares = sum(m.share for m in models) or 1.0
+            total_share = sum(m.share for m in models) or 1.0
             for model in models:
-                part = model.share / shares / max(1, model.hosts)
-                expected[model.name] = self._inventory.engines(service.name) * part
+                groups_per_engine = model.share / total_share / max(1, model.hosts)
+                expected[model.name] = self._inventory.engines(service.name) * groups_per_engine
         return expected
 
     def candidates(self, service: str, model: str) -> Sequence[Candidate]:
-        """Return the targets of a service, of an engine service those that serve a model."""
+        """Return the targets of a service; for an engine service, those that serve the model."""
         plain = self._by_service.get(service)
         if plain is not None:
             return plain
         return [c for c in self._by_model.get(model, ()) if c.host.service == service]
 
     def waiting(self, model: str, goal: float) -> float | None:
-        """Return how many requests may wait at a group of a model, in parts of its slots.
+        """Return how many requests may queue at a group of a model, as a fraction of its slots.
 
-        :param goal: seconds within which the last of them is to show its first event
-        :return: ``None`` where the configuration does not say how long an engine takes
+        :param goal: seconds within which the last of them should receive its first event
+        :return: ``None`` if the configuration has no timing parameters for the engine
         """
         prediction = self._prediction_by_model.get(model)
         if prediction is None:
@@ -142,10 +148,11 @@
         limited_for: float | None = None,
         backoff_left: float | None = None,
     ) -> float:
-        """Return the seconds after which a refused caller may come back, spread out.
+        """Return the seconds after which a rejected caller may retry, with random jitter.
 
-        :param limited_for: seconds until there is room where all targets name a limit
-        :param backoff_left: seconds until the first may be tried where this host backs off from all
+        :param limited_for: seconds until a target has capacity, if all of them are rate limited
+        :param backoff_left: seconds until the first target may be tried, if this host backs off
+            from all of them
         """
         serves = bool(self.candidates(service, model))
         return come_back(serves, self._rng, limited_for, backoff_left)
@@ -155,13 +162,13 @@
         return {model: len(groups) for model, groups in self._by_model.items()}
 
     def groups(self) -> Iterable[tuple[str, ...]]:
-        """Return the lives of each serving group, its head first."""
-        return (c.lives for found in self._by_model.values() for c in found)
+        """Return the incarnations of each serving group's members, the head first."""
+        return (c.lives for candidates in self._by_model.values() for c in candidates)
 
     def targets(self) -> int:
-        """Return how many targets serve, of all services and models."""
-        served = (*self._by_model.values(), *self._by_service.values())
-        return sum(len(candidates) for candidates in served)
+        """Return the number of serving targets of all services and models."""
+        candidate_lists = (*self._by_model.values(), *self._by_service.values())
+        return sum(len(candidates) for candidates in candidate_lists)
 
     def measure(
         self,
@@ -169,39 +176,39 @@
         turned_away: Callable[[str], int],
         taken: Callable[[Candidate], float],
     ) -> None:
-        """Take the requests in flight into the demand for each model.
+        """Update the moving average of the demand for each model.
 
         :param load: returns the requests in flight at a target
-        :param turned_away: returns the requests for a model that found no target in a second,
-            about as long as one would have taken; without them a model that has no group left
-            would seem to need none
-        :param taken: returns the places of a target that its limit leaves empty; they serve nobody,
-            and others are needed for them
+        :param turned_away: returns the requests for a model rejected within the last second, which
+            is about the duration of a request. Without them, a model whose last group is lost would
+            appear to have no demand
+        :param taken: returns the slots of a target that its rate limit leaves unused. They serve no
+            requests, so other slots are needed in their place
         """
         for model in self._by_model.keys() | self._demand_by_model.keys():
             candidates = self._by_model.get(model, ())
             slots = max((c.host.slots for c in candidates), default=self._slots)
             self._slots = slots
-            asked = sum(load(c.target) + taken(c) for c in candidates) + turned_away(model)
-            held = self._demand_by_model.get(model, 0.0)
-            filled = asked / max(1, slots)
-            self._demand_by_model[model] = held + DEMAND_SMOOTHING * (filled - held)
+            requests = sum(load(c.target) + taken(c) for c in candidates) + turned_away(model)
+            previous = self._demand_by_model.get(model, 0.0)
+            occupied = requests / max(1, slots)
+            self._demand_by_model[model] = previous + DEMAND_SMOOTHING * (occupied - previous)
 
     def demand(self, model: str) -> float:
-        """Return a model's part of all groups: what its requests fill, and what is expected."""
-        return EXPECTED_PART * self._expected_by_model.get(model, 0.0) + self.filled(model)
+        """Return a model's demand in groups: its occupancy plus the weighted expected share."""
+        return EXPECTED_DEMAND_WEIGHT * self._expected_by_model.get(model, 0.0) + self.filled(model)
 
     def filled(self, model: str) -> float:
-        """Return how many groups of a model the requests of the last seconds fill."""
+        """Return how many groups of a model the requests of the last seconds occupy."""
         return self._demand_by_model.get(model, 0.0)
 
 
-def _others(group: ServingGroup) -> tuple[str, ...]:
+def _other_members(group: ServingGroup) -> tuple[str, ...]:
     head = group.head.instance
     return tuple(str(member) for member in group.group.members if member != head)
 
 
-def _predictions(catalog: Catalog) -> dict[str, Prediction]:
-    shapes = [s.engine for s in catalog.service_by_name.values() if s.engine is not None]
-    found = {m.name: predict(e, m) for e in shapes for m in e.model_by_name.values()}
-    return {name: prediction for name, prediction in found.items() if prediction is not None}
+def _predict_all(catalog: Catalog) -> dict[str, Prediction]:
+    engines = [s.engine for s in catalog.service_by_name.values() if s.engine is not None]
+    predictions = {m.name: predict(e, m) for e in engines for m in e.model_by_name.values()}
+    return {name: prediction for name, prediction in predictions.items() if prediction is not None}
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of load among entry hosts: who tells whom, and what sums say."""
+"""Load reports among entry hosts: their recipients and aggregation."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from oleanderhill.groups.ownership import Presence
 from oleanderhill.serving.gossip import _ENCODER
 from oleanderhill.serving.reports import (
-    MESH_MOST,
+    MAX_MESH_HOSTS,
     LoadReport,
     Scope,
-    add_up,
+    aggregate,
+    aggregator_rankings,
     audience,
     hub_ranking,
-    hub_rankings,
-    in_parts,
-    without,
+    split_report,
+    subtract,
 )
 
 
@@ -45,24 +45,26 @@
 
 class AudienceTest(unittest.TestCase):
     def test_few_tell_all_others(self):
-        alive = presences(MESH_MOST)
+        alive = presences(MAX_MESH_HOSTS)
         self.assertEqual(
-            len(audience(alive["e0"], alive, hub_rankings(alive), (), False).own), MESH_MOST - 1
+            len(audience(alive["e0"], alive, aggregator_rankings(alive), (), False).own),
+            MAX_MESH_HOSTS - 1,
         )
 
     def test_many_send_one_report_each(self):
-        # Ninety hosts that each tell all others sent 160,000 datagrams a second, more than their
-        # links take. With hubs it is under two thousandths of that times the hosts.
+        # A full mesh of 90 hosts sent 160,000 datagrams per second, more than their links can
+        # carry. With aggregators, the traffic grows only linearly with the number of hosts: about
+        # two datagrams per host and interval.
         alive = presences(90)
         sent = 0
         reporters = {}
         for me in alive.values():
             if hub_ranking(me.data_centre, alive)[0] != me.name:
-                for hub in audience(me, alive, hub_rankings(alive), (), False).own:
+                for hub in audience(me, alive, aggregator_rankings(alive), (), False).own:
                     reporters.setdefault(hub, []).append(me.name)
                     sent += 1
         for hub, names in reporters.items():
-            to = audience(alive[hub], alive, hub_rankings(alive), names, False)
+            to = audience(alive[hub], alive, aggregator_rankings(alive), names, False)
             sent += len(to.hubs) + len(to.neighbours)
         self.assertEqual(len(reporters), 3)
         self.assertLessEqual(sent, 2 * 90 + 6)
@@ -71,11 +73,13 @@
         alive = presences(30)
         first, second = hub_ranking("a", alive)
         me = next(p for p in alive.values() if p.name not in (first, second) and p[3] == "a")
-        self.assertEqual(audience(me, alive, hub_rankings(alive), (), False).own, (first,))
-        self.assertEqual(audience(me, alive, hub_rankings(alive), (), True).own, (first, second))
-        # Whoever is sent reports adds them up, whether or not it knows of the silence.
+        self.assertEqual(audience(me, alive, aggregator_rankings(alive), (), False).own, (first,))
         self.assertEqual(
-            audience(alive[second], alive, hub_rankings(alive), [me.name], False).neighbours,
+            audience(me, alive, aggregator_rankings(alive), (), True).own, (first, second)
+        )
+        # A host that receives reports aggregates them, whether or not it detected the timeout.
+        self.assertEqual(
+            audience(alive[second], alive, aggregator_rankings(alive), [me.name], False).neighbours,
             (me.name,),
         )
 
@@ -83,7 +87,9 @@
         alive = presences(30)
         hub = hub_ranking("a", alive)[0]
         second = hub_ranking("b", alive)[1]
-        to = audience(alive[hub], alive, hub_rankings(alive), ["e0"], False, [second, "gone"])
+        to = audience(
+            alive[hub], alive, aggregator_rankings(alive), ["e0"], False, [second, "gone"]
+        )
         self.assertIn(second, to.hubs)
         self.assertNotIn("gone", to.hubs)
 
@@ -91,17 +97,17 @@
 class SumTest(unittest.TestCase):
     @given(st.lists(st.dictionaries(st.sampled_from("pqrs"), st.integers(1, 9)), min_size=1))
     def test_total_less_own_is_what_all_others_have(self, counts):
-        each = [report(f"e{n}", c) for n, c in enumerate(counts)]
-        total = add_up("hub", Scope.TOTAL, "a", each)
-        left = without(total, each[0]).counts
+        reports = [report(f"e{n}", c) for n, c in enumerate(counts)]
+        total = aggregate("hub", Scope.TOTAL, "a", reports)
+        remainder = subtract(total, reports[0]).counts
         for target in "pqrs":
             others = sum(c.get(target, 0) for c in counts[1:])
-            self.assertEqual(left.get(target, 0), others)
+            self.assertEqual(remainder.get(target, 0), others)
 
     def test_latest_progress_and_all_suspects_hold(self):
-        one = report("e1", {"p": 1}, progress={"p": 0.3}, suspects=["p"], turned_away={"m": 2})
-        two = report("e2", {"p": 1}, progress={"p": 0.1}, suspects=["q"], turned_away={"m": 1})
-        total = add_up("hub", Scope.TOTAL, "a", [one, two])
+        first = report("e1", {"p": 1}, progress={"p": 0.3}, suspects=["p"], turned_away={"m": 2})
+        second = report("e2", {"p": 1}, progress={"p": 0.1}, suspects=["q"], turned_away={"m": 1})
+        total = aggregate("hub", Scope.TOTAL, "a", [first, second])
         self.assertEqual(total.progress, {"p": 0.1})
         self.assertEqual(total.suspects, ["p", "q"])
         self.assertEqual(total.turned_away, {"m": 3})
@@ -109,15 +115,15 @@
     def test_parts_fit_into_datagrams_and_hold_it_all(self):
         rng = random.Random(1)
         targets = [f"data-centre-{n % 4}-d{n % 8}.{n}" for n in range(300)]
-        whole = report(
+        complete = report(
             "front-data-centre-17",
             {t: rng.randint(1, 13) for t in targets},
             progress=dict.fromkeys(targets, 0.123),
             suspects=targets[:5],
         )
-        parts = in_parts(whole)
+        parts = split_report(complete)
         self.assertLessEqual(max(len(_ENCODER.encode(p)) for p in parts), 1400)
-        self.assertEqual({t: n for p in parts for t, n in p.counts.items()}, whole.counts)
+        self.assertEqual({t: n for p in parts for t, n in p.counts.items()}, complete.counts)
         self.assertEqual(len({p.part for p in parts}), len(parts))
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Decisions about forwarded requests: routes, keys, placing, patience, retries, events."""
+"""Handling of forwarded requests: routes, API keys, target selection, timeouts, retries, events."""
 
 import random
 import unittest
@@ -108,15 +108,15 @@
         self.assertEqual(admit(catalog(route()), True, facts(), "h", "/none/").status, 404)
 
     def test_host_that_is_not_sure_says_come_back(self):
-        # A route was added or a key given while this host was cut off. A caller that is told 404
-        # or 401 does not come back; one that is told 503 goes to a host that knows better.
-        for held, path, key in (
+        # A route or an API key was added while this host was partitioned. A caller does not retry
+        # after 404 or 401; after 503 it retries at a host with a current configuration.
+        for configuration, path, key in (
             (None, "/a/", "k"),
             (catalog(route()), "/none/", "k"),
             (catalog(route()), "/a/", "?"),
             (catalog(route()), "/a/", "k"),
         ):
-            problem = admit(held, False, facts(key), "h", path)
+            problem = admit(configuration, False, facts(key), "h", path)
             self.assertIsInstance(problem, Problem)
             self.assertEqual((problem.status, problem.ran), (503, "no"))
             self.assertIsNotNone(problem.retry_after)
@@ -128,7 +128,7 @@
 
 
 TIMES = EngineTimes(5.95e-3, 0.089e-3, 0.01626e-6, 7, 1 / 50_700, 1115, 178)
-"""An engine's terms: steps of 6 ms, seven to a pass, prompts of 1,115 tokens, answers of 178."""
+"""Engine timing: steps of 6 ms, seven per pass, prompts of 1,115 tokens, answers of 178 tokens."""
 
 
 def shape(batch=13, times=TIMES):
@@ -137,7 +137,8 @@
 
 class PredictionTest(unittest.TestCase):
     def test_first_event_at_a_full_group_is_predicted_from_the_engines_terms(self):
-        # In peace callers of these two models saw 0.116 and 0.066 s in the median, way included.
+        # Without faults, callers of these two models measured medians of 0.116 and 0.066 s,
+        # including the network round trip.
         large = predict(shape(), ModelShape("large", 4, 0.6, 1.0, 16.0, 1.6))
         small = predict(shape(), ModelShape("small", 3, 0.4, 0.6, 12.0, 1.1))
         self.assertAlmostEqual(large.first_event, 0.10, delta=0.01)
@@ -145,8 +146,8 @@
         self.assertAlmostEqual(large.place_every, 0.12, delta=0.01)
 
     def test_so_many_may_wait_that_the_last_is_on_time(self):
-        # Places come free every 0.12 s. A caller that expects its first event within 0.3 s can wait
-        # for one of them, one within 0.4 s for two; within 0.1 s it must find a place at once.
+        # A slot becomes free every 0.12 s. A request with a goal of 0.3 s for its first event can
+        # wait for one slot, with 0.4 s for two; with 0.1 s it needs a free slot immediately.
         large = predict(shape(), ModelShape("large", 4, 0.6, 1.0, 16.0, 1.6))
         waiting = [may_wait(large, goal, 13) for goal in (0.1, 0.2, 0.3, 0.4)]
         self.assertEqual([int(w) for w in waiting], [0, 0, 1, 2])
@@ -159,8 +160,8 @@
 class StandingTest(unittest.TestCase):
     def test_who_has_a_part_of_a_stream_goes_first_and_who_came_back_last(self):
         begun, fresh, late = (
-            room(standing(*facts), True)
-            for facts in ((True, 1, True), (False, 0, False), (True, 0, False))
+            room(standing(*state), True)
+            for state in ((True, 1, True), (False, 0, False), (True, 0, False))
         )
         self.assertGreater(begun.places, fresh.places)
         self.assertGreater(fresh.places, late.places)
@@ -187,9 +188,9 @@
 
 class ReturningTest(unittest.TestCase):
     def test_first_attempts_differ_in_patience_and_still_count_as_first(self):
-        # Callers wait 4.25 to 5 s. Taken by that alone, three of four first attempts counted as
-        # returned after a refusal: they found the room of late ones, and were refused with places
-        # free. Whoever uses a kept connection did not come back.
+        # Caller timeouts range from 4.25 to 5 s. Judged by the timeout alone, three of four first
+        # attempts counted as retries after a rejection, got the queue limit of late requests and
+        # were rejected although slots were free. A request on an open connection is not a retry.
         returning = ReturningCallers()
         patience = [4.25 + 0.75 * n / 99 for n in range(100)]
         random.Random(1).shuffle(patience)
@@ -207,8 +208,8 @@
 
 class CurrencyTest(unittest.TestCase):
     def test_proof_runs_out_before_the_bound(self):
-        # A key is taken away at 10.0, and the host hears nothing from then on. A request sent at
-        # 15.0 or later must not run with it; the newest proof may be just older than the removal.
+        # A key is revoked at 10.0, and the host receives no updates from then on. A request sent at
+        # 15.0 or later must not run with it; the last freshness check may just precede the removal.
         currency = Currency(5.0)
         currency.prove(9.99)
         self.assertTrue(currency.holds(9.99 + 5.0 - PROOF_MARGIN - 0.01))
@@ -242,14 +243,14 @@
         self.assertEqual(self.book.load("a", 10.1 + placing.PEER_COUNTS_LAST), 0)
 
     def test_own_data_centre_goes_first_until_it_is_busier(self):
-        near, far = target("near"), target("far", "there")
-        self.assertEqual(self.book.choose([far, near], (), 0.0).target, "near")
+        local, remote = target("near"), target("far", "there")
+        self.assertEqual(self.book.choose([remote, local], (), 0.0).target, "near")
         self.book.begin("near")
-        self.assertEqual(self.book.choose([far, near], (), 0.0).target, "far")
+        self.assertEqual(self.book.choose([remote, local], (), 0.0).target, "far")
 
     def test_target_with_a_kept_connection_goes_first_until_it_is_busier(self):
-        # Benchmark: 1,304 new connections for 2,512 requests of a day with 23 entry hosts before,
-        # 932 for 2,489 with this.
+        # Preferring open connections reduced new connections in a benchmark day with 23 entry hosts
+        # from 1,304 for 2,512 requests to 932 for 2,489.
         other, kept = target("other"), target("kept")
         kept = kept._replace(host=kept.host._replace(address="10.0.0.2:80"))
 
@@ -264,9 +265,10 @@
         self.assertEqual(chosen(), "other")
 
     def test_a_group_that_just_opened_is_not_overrun_by_all_hosts_at_once(self):
-        # Sixty groups are half full, and one opens. Its count is old news to each of 195 entry
-        # hosts, so 60 requests come before any of them sees another's; 11 find a place, the others
-        # wait for over a second. Benchmark: of 60 requests all went to it before, one does now.
+        # Guards against a thundering herd. Sixty groups are half full, and an empty one opens. Load
+        # reports to the 195 entry hosts lag, so 60 requests are placed before any host observes
+        # another's; 11 get a slot in the new group, the others would wait for over a second. In a
+        # benchmark, all of 60 requests went to it without the protection, and one with it.
         sent = Counter()
         groups = [target(f"g{n}", "abcde"[n % 5], slots=11) for n in range(61)]
         for number in range(60):
@@ -291,9 +293,9 @@
         self.assertFalse(self.book.is_suspect("a", 10.3))
 
     def test_callers_are_not_refused_while_most_groups_stand_idle_under_suspicion(self):
-        # Callers got 503 while 29 of 35 groups had no request at all. A burst makes a group late
-        # for one request, which leaves it and names it to all entry hosts; each then lets it be
-        # for two seconds, and the others are overrun and named in their turn.
+        # Callers got 503 while 29 of 35 groups were idle. In a burst, a group is late for one
+        # request, which moves elsewhere and reports the group as suspect to all entry hosts. Each
+        # host avoids it for two seconds, so the other groups are overloaded and become suspects.
         groups = [target(f"g{n}") for n in range(7)]
         for group in groups[:5]:
             self.book.suspect(group.target, 0.0)
@@ -304,8 +306,8 @@
         self.assertIn(chosen, groups[:5])
 
     def test_groups_of_a_lost_data_centre_are_let_be_though_the_others_are_full(self):
-        # A third of the groups can't be reached: a request sent there holds its caller up, and
-        # ends refused all the same.
+        # A third of the groups is unreachable. A request sent there only delays its caller and is
+        # rejected in the end.
         groups = [target(f"g{n}") for n in range(6)]
         for group in groups[:2]:
             self.book.suspect(group.target, 0.0)
@@ -315,8 +317,8 @@
         self.assertIsNone(self.book.choose(groups, (), 0.1))
 
     def test_suspect_that_sends_to_a_peers_request_is_trusted_again(self):
-        # A group stood still for one request, and goes on for those of another entry host. Left
-        # out for seconds, its places would be missed, and callers be refused.
+        # A group stalled for one request, but makes progress on requests of another entry host. If
+        # it were avoided for seconds, its slots would be missing and callers would be rejected.
         self.book.suspect("a", 10.0)
         self.book.hear("peer", {"a": 1}, [], {"a": 0.05}, {}, 10.04)
         self.assertTrue(self.book.is_suspect("a", 10.05))
@@ -324,9 +326,9 @@
         self.assertFalse(self.book.is_suspect("a", 10.2))
 
     def test_target_that_sends_to_others_is_busy_and_not_stuck(self):
-        # One request has waited for its first event for long. Other requests at the same group
-        # get theirs, here or at a peer: the group reads prompts, and is not dead. Going elsewhere
-        # would have the prompt read twice; under load that makes the next ones late too.
+        # One request has waited long for its first event, while other requests at the same group
+        # get theirs, here or at a peer: the group is processing prompts and is not dead. Moving the
+        # request would process its prompt twice, which under load delays later requests too.
         self.book.hear("peer", {"a": 1}, [], {"a": 0.05}, {}, 10.0)
         self.assertTrue(self.book.goes_on("a", 10.1, 0.2))
         self.assertFalse(self.book.goes_on("a", 10.3, 0.2))
@@ -338,9 +340,9 @@
         self.assertEqual(self.book.turned_away("m", 11.1), 0)
 
     def test_busiest_hour_spreads_evenly(self):
-        # 80 requests over eight groups of ten slots, placed one after the other: no group may
-        # get more than its slots while another has room. Before counting (drawn at random) the
-        # fullest of eight held 17 in the mean of 100 plays; with counts it holds 10.
+        # 80 requests are placed one after the other on eight groups of ten slots. No group may get
+        # more requests than slots while another has free slots. With random placement, the fullest
+        # of eight held 17 in the mean of 100 runs; with request counts it holds 10.
         candidates = [target(f"g{n}") for n in range(8)]
         for _ in range(80):
             self.book.begin(self.book.choose(candidates, (), 0.0).target)
@@ -359,8 +361,8 @@
 
 class RetryTest(unittest.TestCase):
     def test_shares_of_all_hosts_stay_under_the_bound(self):
-        # Nine hosts, of which the balancer gives one nearly everything; every request is lost
-        # and retried if the budget lets it. The sum over all hosts stays under the bound.
+        # The load balancer sends nearly all requests to one of nine hosts, and every request is
+        # lost and retried if the budget allows it. The sum over all hosts stays under the bound.
         budgets = [SharedRetryBudget(0.2, 134, 10.0) for _ in range(9)]
         retries, requests = 0, 0
         for budget in budgets:
@@ -375,9 +377,10 @@
         self.assertGreater(retries, 0.1 * requests)
 
     def test_host_near_a_loss_uses_what_the_others_have_left(self):
-        # Callers got 503 for want of one more try, "target said 421, not run". Of 87 entry hosts
-        # each may try five times more in ten seconds, and a group that was taken apart behind a
-        # cut turned away ten requests of one host within two; all together had spent 60 of 500.
+        # Callers got 503 with "target said 421, not run" because the budget allowed no further
+        # retry. Each of 87 entry hosts may retry five times in ten seconds. A group that was
+        # dissolved behind a partition rejected ten requests of one host within two seconds, while
+        # all hosts together had used 60 of 500 retries.
         budget = SharedRetryBudget(0.2, 274, 10.0)
         budget.hosts = 87
         for _ in range(19):
@@ -405,42 +408,42 @@
     def test_pooled_shares_stay_under_the_bound_whoever_hears_whom(
         self, hosts, lag, eager, cut, seed
     ):
-        # Hosts take all that they may, some of them eagerly from the first moment on. News is up to
-        # 0.3 s old, a tenth of it is lost, and in half of the plays half of the hosts hear nothing
-        # of the other half. In no window do all together take more than the bound.
+        # Hosts use all retries that they may, some of them from the start. Updates are up to 0.3 s
+        # old, a tenth of them is lost, and in half of the runs the hosts are partitioned into two
+        # halves. In no window may all hosts together use more retries than the bound.
         rng = random.Random(seed)
         ratio, slack, window, step = 0.2, 60.0, 10.0, 0.05
         budgets = [SharedRetryBudget(ratio, slack, window) for _ in range(hosts)]
         for budget in budgets:
             budget.hosts = hosts
         greedy = [b for b in budgets if rng.random() < eager]
-        asked, taken, told = [], [], []
+        requested_at, retried_at, updates = [], [], []
         for tick in range(300):
             now = tick * step
-            told.append([b.own(now) for b in budgets])
-            heard = told[max(0, tick - lag)]
+            updates.append([b.own(now) for b in budgets])
+            received = updates[max(0, tick - lag)]
             for number, budget in enumerate(budgets):
-                near = [
+                reachable = [
                     c
-                    for other, c in enumerate(heard)
+                    for other, c in enumerate(received)
                     if other != number and not (cut and (other + number) % 2)
                 ]
-                if near and rng.random() > 0.1:
-                    budget.hear("total/0", counted(near), now)
+                if reachable and rng.random() > 0.1:
+                    budget.hear("total/0", counted(reachable), now)
                 if rng.random() < 0.1:
                     budget.request(now)
-                    asked.append(now)
+                    requested_at.append(now)
             for budget in greedy if tick % 100 < 50 else budgets:
                 while budget.take(now):
-                    taken.append(now)
-            within = [t for t in taken if t > now - window]
-            allowed = ratio * sum(t > now - window for t in asked) + slack
-            self.assertLessEqual(len(within), allowed)
+                    retried_at.append(now)
+            in_window = [t for t in retried_at if t > now - window]
+            allowed = ratio * sum(t > now - window for t in requested_at) + slack
+            self.assertLessEqual(len(in_window), allowed)
 
     def test_window_slides(self):
         budget = SharedRetryBudget(0.0, 10.0, 10.0)
-        taken = sum(budget.take(0.0) for _ in range(20))
-        self.assertEqual(taken, 6)
+        allowed = sum(budget.take(0.0) for _ in range(20))
+        self.assertEqual(allowed, 6)
         self.assertFalse(budget.take(9.9))
         self.assertTrue(budget.take(10.1))
 
@@ -457,8 +460,8 @@
         return Choice(name, 0, Member(name, "a", name), "here", "")
 
     def test_attempts_that_reached_no_target_leave_the_allowed_ones(self):
-        # The route allows one target. The first connection is refused, so no target has the
-        # request; it may still go to another, and with bytes sent there it may not go on.
+        # The route allows one attempt. The first connection is refused, so no target has received
+        # the request and another target may be tried. Once it is sent there, it stays there.
         machine = self.machine(False, 1)
         machine.handle(Chosen(self.choice("a")), 0.0)
         machine.handle(ConnectFailed(1, "refused"), 0.0)
