--- a/src/oleanderhill/domains/__init__.py
+++ b/src/oleanderhill/domains/__init__.py
@@ -1,1 +1,1 @@
-"""Owners of fabric domains: plans, repairs and orders of the own interface."""
+"""Control of fabric domains: planning, placement and repair of groups, orders to engines."""
--- a/src/oleanderhill/domains/hostwatch.py
+++ b/src/oleanderhill/domains/hostwatch.py
@@ -1,4 +1,4 @@
-"""What the owner of a domain knows of its hosts: reports, and since when they hold nothing."""
+"""The latest report of each host of a domain, and since when each empty host has been empty."""
 
 from __future__ import annotations
 
@@ -9,76 +9,79 @@
 from ..types import EngineState, HostEntry, HostState, SeenReport
 
 PROBE_EVERY = 0.9
-PROBE_AGAIN = 0.4
+"""Seconds between probes of a host that answered the last one."""
+
+PROBE_RETRY_INTERVAL = 0.4
+"""Seconds between probes of a host that did not answer the last one."""
 
 
 class HostWatch:
-    """The hosts of one domain."""
+    """Tracks the reports of the hosts of one domain and schedules their probes."""
 
     def __init__(self) -> None:
         self.entry_by_host: dict[str, HostEntry] = {}
         self.seen_by_host: dict[str, SeenReport] = {}
         self.empty_since: dict[str, float] = {}
-        self._load_lands_by: dict[str, float] = {}
-        self._asked_at: dict[str, float] = {}
+        self._load_arrives_by: dict[str, float] = {}
+        self._probed_at: dict[str, float] = {}
 
     def hosts(self, entries: Iterable[HostEntry]) -> None:
-        """Set the platform's list for this domain."""
+        """Replace the platform's list of hosts in this domain."""
         self.entry_by_host = {e.host: e for e in entries}
 
     def saw(self, seen: SeenReport) -> None:
-        """Take in a report; one from an earlier probe than the one held is ignored."""
+        """Store a report, unless the stored one comes from a later probe."""
         host = seen.report.host
-        held = self.seen_by_host.get(host)
-        if held is not None and held.sent_at > seen.sent_at:
+        previous = self.seen_by_host.get(host)
+        if previous is not None and previous.sent_at > seen.sent_at:
             return
         self.seen_by_host[host] = seen
-        same_boot = held is not None and held.report.boot_id == seen.report.boot_id
+        same_boot = previous is not None and previous.report.boot_id == seen.report.boot_id
         if seen.report.state != EngineState.EMPTY:
             self.empty_since.pop(host, None)
         elif not same_boot or host not in self.empty_since:
-            # A load order may still be on its way to a host that reports that it is empty.
-            lands_by = self._load_lands_by.get(host, seen.sent_at)
-            self.empty_since[host] = max(seen.sent_at, lands_by)
+            # A load order may still be in flight to a host that reports itself empty.
+            arrives_by = self._load_arrives_by.get(host, seen.sent_at)
+            self.empty_since[host] = max(seen.sent_at, arrives_by)
 
     def refused(self, host: str, sent_at: float) -> None:
-        """Take note that nothing listens at a host: its engine is gone for certain.
+        """Discard the report of a host that refused a probe: its engine is not running.
 
-        Without this the last report would count for its full age, and the group would be sent
-        requests for two seconds after a death that was seen at once.
+        Otherwise the last report would stay valid until it expires, and the group would receive
+        requests for up to two seconds after a crash that was detected immediately.
         """
-        held = self.seen_by_host.get(host)
-        if held is not None and held.sent_at < sent_at:
+        previous = self.seen_by_host.get(host)
+        if previous is not None and previous.sent_at < sent_at:
             del self.seen_by_host[host]
             self.empty_since.pop(host, None)
 
     def expect_load(self, host: str, now: float) -> None:
-        """Don't take a host for empty while a load order may be on its way to it."""
-        self._load_lands_by[host] = now + owners.ORDER_LIFE
+        """Don't treat a host as empty while a load order may be in flight to it."""
+        self._load_arrives_by[host] = now + owners.ORDER_LIFE
         self.empty_since.pop(host, None)
 
     def to_probe(self, now: float) -> list[HostEntry]:
-        """Return the hosts to probe now.
+        """Return the hosts to probe now, and record them as probed.
 
-        A host that answered rests for :data:`PROBE_EVERY`; one that did not is asked again at the
-        next tick, so that a single lost probe does not close its group.
+        A host that answered is probed again after :data:`PROBE_EVERY`. One that did not answer is
+        probed again at the next tick, so that a single lost probe does not close its group.
         """
         due = []
         for host, entry in self.entry_by_host.items():
-            asked_at = self._asked_at.get(host, float("-inf"))
+            probed_at = self._probed_at.get(host, float("-inf"))
             seen = self.seen_by_host.get(host)
-            answered = seen is not None and seen.sent_at >= asked_at
-            if now - asked_at >= (PROBE_EVERY if answered else PROBE_AGAIN):
-                self._asked_at[host] = now
+            answered = seen is not None and seen.sent_at >= probed_at
+            if now - probed_at >= (PROBE_EVERY if answered else PROBE_RETRY_INTERVAL):
+                self._probed_at[host] = now
                 due.append(entry)
         return due
 
     def leaving(self) -> frozenset[str]:
-        """Return the hosts that the platform's list calls leaving."""
+        """Return the hosts that the platform's list marks as leaving."""
         return frozenset(h for h, e in self.entry_by_host.items() if e.state == HostState.LEAVING)
 
     def usable(self, now: float) -> int:
-        """Return how many hosts are present and staying."""
+        """Return how many hosts have a fresh report and are not leaving."""
         leaving = self.leaving()
         return sum(
             1
--- a/src/oleanderhill/domains/messages.py
+++ b/src/oleanderhill/domains/messages.py
@@ -1,4 +1,4 @@
-"""What the stewards hear when the plan changes."""
+"""The message sent to the domain controllers when the plan changes."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 class PlanChanged(NamedTuple):
-    """The plan of this data centre changed, or what the settings want."""
+    """The plan of this data centre or the groups wanted by the settings changed."""
 
     wanted_by_domain: dict[str, tuple[WantedGroup, ...]]
--- a/src/oleanderhill/domains/order_log.py
+++ b/src/oleanderhill/domains/order_log.py
@@ -1,4 +1,4 @@
-"""What a steward remembers of the orders it gave: when each left, and leave to read weights."""
+"""When a domain controller sent each order, and the tickets that permit reading weights."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from ..types import DomainLedger
 from .orders import OrderKey
 
-ORDERS_KEPT = 30.0
-"""Seconds for which the sending of an order is remembered; well over the resend interval."""
+SENT_RETENTION = 30.0
+"""Seconds for which the send time of an order is kept; much longer than the resend interval."""
 
-ASK_AGAIN = 1.0
-"""Seconds before leave to read weights is asked for again where no answer came."""
+TICKET_RETRY_DELAY = 1.0
+"""Seconds after which an unanswered ticket request is repeated."""
 
 GRANTED = -1.0
-"""Stands for leave that was given, in place of a time to ask again."""
+"""Marks a granted ticket, in place of the time of the next request."""
 
 
 class OrderLog:
-    """Sendings of orders by key, and the state of their leave to read weights."""
+    """Send times of orders by key, and the state of their tickets to read weights."""
 
     def __init__(self) -> None:
         self._sent_at: dict[OrderKey, float] = {}
@@ -26,36 +26,36 @@
 
     @property
     def sent_at(self) -> Mapping[OrderKey, float]:
-        """Return when each order left."""
+        """Return when each order was last sent."""
         return self._sent_at
 
     def sent(self, key: OrderKey, now: float) -> None:
-        """Take note that an order left; leave to read weights is used up by it."""
+        """Record that an order was sent, which uses up its ticket."""
         self._sent_at[key] = now
         self._tickets.pop(key, None)
 
     def ticket(self, key: OrderKey, wait: float, now: float) -> None:
-        """Take in leave to read weights: now, or ask again after ``wait`` seconds."""
+        """Record a ticket as granted, or as to be requested again after a positive ``wait``."""
         self._tickets[key] = now + wait if wait > 0 else GRANTED
 
-    def may_load(self, key: OrderKey) -> bool:
-        """Tell whether leave to read weights was given."""
+    def has_ticket(self, key: OrderKey) -> bool:
+        """Return whether the ticket for an order was granted."""
         return self._tickets.get(key) == GRANTED
 
-    def ask(self, key: OrderKey, now: float) -> bool:
-        """Tell whether leave is to be asked for now; it then counts as asked."""
+    def start_request(self, key: OrderKey, now: float) -> bool:
+        """Return whether to request a ticket now; if so, record it as requested."""
         if now < self._tickets.get(key, 0.0):
             return False
-        self._tickets[key] = now + ASK_AGAIN
+        self._tickets[key] = now + TICKET_RETRY_DELAY
         return True
 
-    def forget_sendings(self) -> None:
-        """Forget when orders left: they were another owner's."""
+    def clear_sent(self) -> None:
+        """Clear the send times, which date from before this take-over."""
         self._sent_at = {}
 
-    def forget_old(self, ledger: DomainLedger, now: float) -> None:
-        """Drop what is kept of orders long past; each epoch of a group leaves some behind."""
-        self._sent_at = {k: at for k, at in self._sent_at.items() if now - at < ORDERS_KEPT}
+    def prune(self, ledger: DomainLedger, now: float) -> None:
+        """Remove old send times and the tickets of past group epochs, which would accumulate."""
+        self._sent_at = {k: at for k, at in self._sent_at.items() if now - at < SENT_RETENTION}
         epoch_by_group = {g: r.epoch for g, r in ledger.groups.items()}
         self._tickets = {
             k: at for k, at in self._tickets.items() if epoch_by_group.get(k.group) == k.epoch
--- a/src/oleanderhill/domains/orders.py
+++ b/src/oleanderhill/domains/orders.py
@@ -1,8 +1,8 @@
-"""Orders that bring engines to what the ledger says: a pure reconciliation.
+"""Reconciliation of engines with the ledger, as pure functions.
 
-The ledger holds the intent, the reports hold the fact. :func:`due` lists the orders that close
-the gap. It is level-triggered: an order that was lost, or sent to a host that rebooted, comes up
-again at the next round, with a new fencing number.
+The ledger holds the desired state, the reports the actual state. :func:`due_orders` returns the
+orders that reconcile the two. It is level-triggered: an order that was lost, or sent to a host
+that rebooted, is due again in the next round, with a new fencing number.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class OrderKey(NamedTuple):
-    """What makes two orders the same for the resend interval."""
+    """Identifies an order for the resend interval."""
 
     kind: str
     host: str
@@ -26,48 +26,51 @@
     epoch: int
 
 
-class Due(NamedTuple):
-    """An order that is due, still without a fencing number."""
+class DueOrder(NamedTuple):
+    """An order to send, still without a fencing number.
+
+    :param read_gb: gigabytes of weights that the host reads to carry out the order
+    """
 
     order: Order
-    needs_weights: float
+    read_gb: float
 
 
-def due(
+def due_orders(
     ledger: DomainLedger,
     entry_by_host: Mapping[str, HostEntry],
     seen_by_host: Mapping[str, SeenReport],
     sent_at_by_key: Mapping[OrderKey, float],
     now: float,
-) -> list[Due]:
+) -> list[DueOrder]:
     """Return the orders to send now, unloads first.
 
     :param sent_at_by_key: when each order was last sent
     """
-    wanted = _wanted_by_host(ledger)
-    unloads: list[Due] = []
-    loads: list[Due] = []
+    assignment_by_host = _assignment_by_host(ledger)
+    unloads: list[DueOrder] = []
+    loads: list[DueOrder] = []
     for host, seen in sorted(seen_by_host.items()):
         if now - seen.sent_at > EVIDENCE_MAX_AGE or host not in entry_by_host:
             continue
-        target = wanted.get(host)
-        if target is None:
+        assignment = assignment_by_host.get(host)
+        if assignment is None:
             unloads.extend(_unload(host, entry_by_host[host], seen))
         else:
-            loads.extend(_load(target[0], target[1], seen))
-    return [d for d in unloads + loads if _rested(d.order, sent_at_by_key, now)]
+            loads.extend(_load(assignment[0], assignment[1], seen))
+    return [d for d in unloads + loads if _may_resend(d.order, sent_at_by_key, now)]
 
 
 def order_key(order: Order) -> OrderKey:
-    """Return the key under which the sending of an order is remembered."""
+    """Return the key under which the send time of an order is kept."""
     return OrderKey(order.kind, order.host, order.group, order.epoch)
 
 
-def _rested(order: Order, sent_at_by_key: Mapping[OrderKey, float], now: float) -> bool:
+def _may_resend(order: Order, sent_at_by_key: Mapping[OrderKey, float], now: float) -> bool:
     return now - sent_at_by_key.get(order_key(order), -RESEND_AFTER) >= RESEND_AFTER
 
 
-def _wanted_by_host(ledger: DomainLedger) -> dict[str, tuple[GroupRecord, int]]:
+def _assignment_by_host(ledger: DomainLedger) -> dict[str, tuple[GroupRecord, int]]:
     return {
         member.host: (record, rank)
         for record in ledger.groups.values()
@@ -75,28 +78,30 @@
     }
 
 
-def _unload(host: str, entry: HostEntry, seen: SeenReport) -> list[Due]:
-    """Empty a host that no group holds any more."""
+def _unload(host: str, entry: HostEntry, seen: SeenReport) -> list[DueOrder]:
+    """Return the order that empties a host which belongs to no group."""
     report = seen.report
     if report.state == EngineState.EMPTY:
         return []
     order = Order(
         "unload", host, entry.address, report.group, report.epoch, report.rank, (), None, (0, 0)
     )
-    return [Due(order, 0.0)]
+    return [DueOrder(order, 0.0)]
 
 
-def _load(record: GroupRecord, rank: int, seen: SeenReport) -> list[Due]:
+def _load(record: GroupRecord, rank: int, seen: SeenReport) -> list[DueOrder]:
     report = seen.report
     member = record.members[rank]
-    # A boot that the ledger doesn't name is not loaded: placement binds the group to the new
-    # boot first, at a new epoch, so that one epoch never covers two boots of a host.
+    # A boot that the ledger doesn't list gets no load order. Placement first binds the group to
+    # the new boot at a new epoch, so that one epoch never covers two boots of a host.
     if report.boot_id != member.boot_id:
         return []
-    same = report.group == record.group and report.epoch == record.epoch and report.rank == rank
-    if same and report.state != EngineState.EMPTY:
+    same_assignment = (
+        report.group == record.group and report.epoch == record.epoch and report.rank == rank
+    )
+    if same_assignment and report.state != EngineState.EMPTY:
         return []
-    keeps = report.group == record.group and report.state == EngineState.READY
+    has_weights = report.group == record.group and report.state == EngineState.READY
     order = Order(
         "load",
         member.host,
@@ -108,4 +113,4 @@
         record.spec,
         (0, 0),
     )
-    return [Due(order, 0.0 if keeps else record.spec.weights_gb / record.spec.hosts)]
+    return [DueOrder(order, 0.0 if has_weights else record.spec.weights_gb / record.spec.hosts)]
--- a/src/oleanderhill/domains/placement.py
+++ b/src/oleanderhill/domains/placement.py
@@ -1,9 +1,9 @@
-"""Placement and repair inside one fabric domain: a pure decision over its ledger and reports.
+"""Placement and repair in one fabric domain, as pure functions of its ledger and reports.
 
-:func:`decide` looks at what is wanted, what the ledger holds and what the hosts report, and
-returns at most a few :data:`Action` values, each of which is one ledger write. It weighs, by the
-operators' exchange rate, waiting for a lost member against swapping in a spare, against breaking
-up a group that can't be made whole. See ``docs/design/placement.md`` for the ways weighed.
+:func:`decide` compares the wanted groups with the ledger and the host reports and returns the
+few :data:`Action` values to apply to the ledger. By the operators' exchange rate it weighs
+waiting for a lost member, replacing it with a spare and dissolving a group that can't be made
+complete. ``docs/design/placement.md`` compares the alternatives.
 """
 
 from __future__ import annotations
@@ -26,25 +26,29 @@
 from . import ledger as ledgers
 
 PAUSE_GRACE = 1.0
-"""Seconds a silent member gets beyond the evidence age: most short pauses end within it."""
+"""Seconds a silent member gets beyond the evidence age; most short pauses are shorter."""
 
 HOLD_BASE = 60.0
-"""Seconds a group that can't be repaired holds its other hosts, at an exchange rate of one."""
+"""Seconds a group that can't be repaired keeps its other hosts, at an exchange rate of eight."""
 
 HOLD_MAX = 1800.0
+"""Longest time in seconds that such a group keeps its hosts, at any exchange rate."""
+
 DRAIN_LIMIT = 120.0
 """Seconds after which a draining group is dissolved even with requests in flight."""
 
-
 MENDED_BY_ORDERS = frozenset({MemberFault.LOADING, MemberFault.OTHER_GROUP})
-"""Faults that a load order of the present epoch ends. A new epoch for them would start over each
-time that a report older than the order comes in, and never get anywhere."""
+"""Faults that a load order of the current epoch corrects.
+
+Rebinding the group at a new epoch instead would restart the load at each report that is older than
+the order, and the group would never become complete.
+"""
 
 
 class Policy(NamedTuple):
-    """The operators' weights for repair.
+    """The operators' parameters of repair.
 
-    :param exchange_rate: host-seconds stranded that one group-second of downtime is worth
+    :param exchange_rate: stranded host-seconds that cost as much as one group-second of downtime
     :param grace: seconds a silent member gets before it is replaced
     """
 
@@ -53,7 +57,7 @@
 
 
 class Form(NamedTuple):
-    """Form a wanted group from free hosts."""
+    """Create a wanted group from free hosts."""
 
     wanted: WantedGroup
     members: tuple[Member, ...]
@@ -61,7 +65,7 @@
 
 
 class Rebind(NamedTuple):
-    """Give a group a new epoch with these members: a swap, or the same hosts in new boots."""
+    """Give a group a new epoch with replaced members, or with new boots of the same hosts."""
 
     group: str
     members: tuple[Member, ...]
@@ -69,14 +73,14 @@
 
 
 class Drain(NamedTuple):
-    """Stop new requests to a group that is to go."""
+    """Stop new requests to a group that is to be dissolved."""
 
     group: str
     reason: str
 
 
 class Dissolve(NamedTuple):
-    """Take a group apart."""
+    """Remove a group and release its hosts."""
 
     group: str
     reason: str
@@ -86,13 +90,13 @@
 
 
 class Situation(NamedTuple):
-    """All that :func:`decide` looks at.
+    """The input of :func:`decide`.
 
-    :param wanted: groups the plan gives to this domain
-    :param entry_by_host: the platform's list for this domain
-    :param empty_since: since when each host reports, in its present boot, that it holds nothing
-    :param broken_since: when each group that isn't whole was last seen whole, or formed
-    :param draining_since: when each draining group began to drain
+    :param wanted: groups that the plan assigns to this domain
+    :param entry_by_host: the platform's list of hosts in this domain
+    :param empty_since: since when each host has reported, in its current boot, that it is empty
+    :param broken_since: when each incomplete group was last observed to be complete, or formed
+    :param draining_since: when each draining group started to drain
     """
 
     now: float
@@ -109,21 +113,21 @@
 def apply(ledger: DomainLedger, action: Action) -> DomainLedger:
     """Return the ledger after an action.
 
-    :raises LedgerRuleError: if the action breaks a rule of the ledger
+    :raises LedgerRuleError: if the action breaks an invariant of the ledger
     """
     match action:
         case Form(wanted, members, _):
-            return ledgers.formed(ledger, wanted.group, wanted.spec, members)
+            return ledgers.with_new_group(ledger, wanted.group, wanted.spec, members)
         case Rebind(group, members, _):
-            return ledgers.swapped(ledger, group, members)
+            return ledgers.with_members(ledger, group, members)
         case Drain(group, _):
-            return ledgers.draining(ledger, group)
+            return ledgers.with_draining_group(ledger, group)
         case Dissolve(group, _):
-            return ledgers.dissolved(ledger, group)
+            return ledgers.without_group(ledger, group)
 
 
 def decide(s: Situation) -> list[Action]:
-    """Return the actions to take now, in order; each holds after those before it."""
+    """Return the actions to take now, in order; each assumes that those before it are applied."""
     actions: list[Action] = []
     ledger = s.ledger
     for step in (_remove_unwanted, _repair, _form):
@@ -135,20 +139,20 @@
 
 
 def free_hosts(s: Situation) -> list[SeenReport]:
-    """Return hosts that can join a group now: in no group, empty, present and staying."""
-    held = ledgers.holder_by_host(s.ledger)
+    """Return the hosts that can join a group now: unassigned, empty, present and not leaving."""
+    assigned = ledgers.holder_by_host(s.ledger)
     return [
         seen
         for host, seen in sorted(s.seen_by_host.items())
-        if host not in held and _present(s, host) and _let_go(s, host)
+        if host not in assigned and _present(s, host) and _let_go(s, host)
     ]
 
 
 def _let_go(s: Situation, host: str) -> bool:
-    """Tell whether a host has held nothing for longer than evidence of its last group counts.
+    """Return whether a host has been empty for longer than evidence of its last group is valid.
 
-    An entry host that is cut off from the owner may send to the host's last group for as long as
-    its evidence of it counts. Given to another group at once, the host would belong to two.
+    An entry host that is partitioned from the owner may send requests to the host's last group
+    until its evidence expires. Assigned immediately, the host would serve for two groups.
     """
     return s.now - s.empty_since.get(host, s.now) > EVIDENCE_MAX_AGE
 
@@ -179,20 +183,22 @@
 
 def _finish_drain(s: Situation, record: GroupRecord) -> list[Action]:
     waited = s.now - s.draining_since.get(record.group, s.now)
-    # An idle head right after the drain began proves little: entry hosts learn of the drain
-    # within the evidence age and may have sent a request meanwhile.
+    # An idle head just after the start of a drain is not conclusive: entry hosts learn of the
+    # drain within the evidence age and may still send requests until then.
     if _idle(s, record) and waited > EVIDENCE_MAX_AGE:
         return [Dissolve(record.group, "drained")]
     if waited > DRAIN_LIMIT:
-        return [Dissolve(record.group, "drain limit passed")]
+        return [Dissolve(record.group, "drain time limit exceeded")]
     return []
 
 
 def _retire_unwanted(s: Situation, record: GroupRecord, busy: bool) -> list[Action]:
-    """Let go of a group that is not wanted, without dropping below the wanted whole groups.
+    """Drain or dissolve an unwanted group without dropping below the wanted complete groups.
+
+    A group of another version under the same name serves until its successor is complete. It is
+    drained earlier, one group at a time, only if the free hosts don't suffice for a successor.
 
-    A group of the same name in another version stands in for its successor until that one is
-    whole. Only where no host is free to form the successor does one group at a time go first.
+    :param busy: another group is already drained or dissolved in this round
     """
     if not _verdict(s, record).whole:
         return [Dissolve(record.group, "not wanted and not serving")]
@@ -200,28 +206,32 @@
     if not successors:
         return [Drain(record.group, "not wanted")]
     same = [r for r in s.ledger.groups.values() if _same_name(r.spec, record)]
-    whole = sum(1 for r in same if r.phase == GroupPhase.ACTIVE and _verdict(s, r).whole)
-    if whole > len(successors):
+    complete_count = sum(1 for r in same if r.phase == GroupPhase.ACTIVE and _verdict(s, r).whole)
+    if complete_count > len(successors):
         return [] if busy else [Drain(record.group, "its successor serves")]
-    if busy or whole < len(successors) or not _stuck(s, successors, record.spec.hosts):
+    if (
+        busy
+        or complete_count < len(successors)
+        or not _successors_lack_hosts(s, successors, record.spec.hosts)
+    ):
         return []
-    return [Drain(record.group, "makes room for its successor")]
+    return [Drain(record.group, "frees hosts for its successor")]
 
 
-def _stuck(s: Situation, successors: Sequence[WantedGroup], hosts: int) -> bool:
-    """Tell whether no successor forms, none can be formed, and nothing makes room already."""
+def _successors_lack_hosts(s: Situation, successors: Sequence[WantedGroup], hosts: int) -> bool:
+    """Return whether a successor can't be formed for lack of hosts and no change is under way."""
     if any(r.phase == GroupPhase.DRAINING for r in s.ledger.groups.values()):
         return False
     formed = [s.ledger.groups[w.group] for w in successors if w.group in s.ledger.groups]
     if any(not _verdict(s, r).whole for r in formed) or len(formed) == len(successors):
         return False
-    return len(_unheld(s)) < hosts
+    return len(_unassigned_hosts(s)) < hosts
 
 
-def _unheld(s: Situation) -> list[str]:
-    """Return the hosts that are present and in no group, even if they hold something still."""
-    held = ledgers.holder_by_host(s.ledger)
-    return [h for h in s.seen_by_host if h not in held and _present(s, h)]
+def _unassigned_hosts(s: Situation) -> list[str]:
+    """Return the hosts that are present and in no group, even if they are not yet empty."""
+    assigned = ledgers.holder_by_host(s.ledger)
+    return [h for h in s.seen_by_host if h not in assigned and _present(s, h)]
 
 
 def _same_name(spec: GroupSpec, record: GroupRecord) -> bool:
@@ -247,7 +257,7 @@
         for r in s.ledger.groups.values()
         if r.phase == GroupPhase.ACTIVE and _needs_repair(s, r, _verdict(s, r))
     ]
-    # The most wanted group gets the spares first; the name breaks ties the same way each time.
+    # Spares go to the group of highest priority first; the name breaks ties deterministically.
     for record in sorted(broken, key=lambda r: (-r.spec.priority, r.group)):
         action = _repair_one(s, record, free)
         if action is None:
@@ -275,24 +285,24 @@
 def _repair_one(s: Situation, record: GroupRecord, free: Sequence[SeenReport]) -> Action | None:
     verdict = _verdict(s, record)
     since = s.now - s.broken_since.get(record.group, s.now)
-    bad = [m for m in record.members if _unusable(s, m, verdict)]
-    silent_only = all(verdict.faults.get(m.host) == MemberFault.SILENT for m in bad)
-    if bad and silent_only and since < s.policy.grace:
+    unusable = [m for m in record.members if _unusable(s, m, verdict)]
+    silent_only = all(verdict.faults.get(m.host) == MemberFault.SILENT for m in unusable)
+    if unusable and silent_only and since < s.policy.grace:
         return None
-    if not bad:
-        return _rebound(s, record, verdict)
-    if verdict.whole and not _drained_enough(s, record, since):
+    if not unusable:
+        return _rebind_same_hosts(s, record, verdict)
+    if verdict.whole and not _may_change_members(s, record, since):
         return None
-    spares = [_member(s, f) for f in free[: len(bad)]]
-    if len(spares) == len(bad):
-        return _swap(s, record, bad, spares)
-    if since > hold_time(s.policy) or _helps_another(s, record, verdict, free):
-        return Dissolve(record.group, f"{len(bad)} member(s) lost and no spare")
+    spares = [_member(s, f) for f in free[: len(unusable)]]
+    if len(spares) == len(unusable):
+        return _swap(s, record, unusable, spares)
+    if since > hold_time(s.policy) or _frees_hosts_for_another(s, record, verdict, free):
+        return Dissolve(record.group, f"{len(unusable)} member(s) lost and too few spares")
     return None
 
 
-def _drained_enough(s: Situation, record: GroupRecord, since: float) -> bool:
-    """Let requests in flight end before a whole group with a leaving member is changed."""
+def _may_change_members(s: Situation, record: GroupRecord, since: float) -> bool:
+    """Return whether a complete group with a leaving member is idle or has drained long enough."""
     return _idle(s, record) or since > DRAIN_LIMIT
 
 
@@ -305,62 +315,62 @@
     return fault == MemberFault.SILENT or not _present(s, member.host)
 
 
-def _rebound(s: Situation, record: GroupRecord, verdict: Verdict) -> Action | None:
-    """Take a member that is back in a new boot into the group again, at a new epoch."""
+def _rebind_same_hosts(s: Situation, record: GroupRecord, verdict: Verdict) -> Action | None:
+    """Rebind a group to the current boots of its hosts, at a new epoch."""
     if not verdict.faults:
         return None
     members = tuple(
         Member(m.host, m.address, s.seen_by_host[m.host].report.boot_id) for m in record.members
     )
     faults = ", ".join(f"{h} {f.value}" for h, f in sorted(verdict.faults.items()))
-    return Rebind(record.group, members, f"same hosts again: {faults}")
+    return Rebind(record.group, members, f"same hosts rebound: {faults}")
 
 
 def _swap(
-    s: Situation, record: GroupRecord, bad: Sequence[Member], spares: Sequence[Member]
+    s: Situation, record: GroupRecord, unusable: Sequence[Member], spares: Sequence[Member]
 ) -> Rebind:
-    spare_by_host = dict(zip((m.host for m in bad), spares, strict=True))
-    members = tuple(spare_by_host.get(m.host) or _current(s, m) for m in record.members)
-    pairs = ", ".join(f"{m.host} by {spare_by_host[m.host].host}" for m in bad)
+    spare_by_host = dict(zip((m.host for m in unusable), spares, strict=True))
+    members = tuple(spare_by_host.get(m.host) or _with_current_boot(s, m) for m in record.members)
+    pairs = ", ".join(f"{m.host} by {spare_by_host[m.host].host}" for m in unusable)
     return Rebind(record.group, members, f"replaced {pairs}")
 
 
-def _current(s: Situation, member: Member) -> Member:
+def _with_current_boot(s: Situation, member: Member) -> Member:
     seen = s.seen_by_host.get(member.host)
     return member if seen is None else member._replace(boot_id=seen.report.boot_id)
 
 
 def hold_time(policy: Policy) -> float:
-    """Return how long a group without a spare holds its other hosts, in seconds.
+    """Return how long a group without a spare keeps its other hosts, in seconds.
 
-    The hold costs stranded hosts and pays in downtime saved should the member return, so it
-    grows with the exchange rate.
+    Keeping them strands hosts but saves downtime if the lost member returns, so the time grows
+    with the exchange rate.
     """
     return min(HOLD_MAX, HOLD_BASE * policy.exchange_rate / 8.0)
 
 
-def _helps_another(
+def _frees_hosts_for_another(
     s: Situation, record: GroupRecord, verdict: Verdict, free: Sequence[SeenReport]
 ) -> bool:
-    """Tell whether breaking up this group makes another one, worth more, whole again."""
+    """Return whether dissolving this group frees enough hosts to complete a more important one."""
     usable = sum(1 for m in record.members if not _unusable(s, m, verdict)) + len(free)
     for other in s.ledger.groups.values():
         if other.group == record.group or other.phase != GroupPhase.ACTIVE:
             continue
-        missing = _missing(s, other)
-        if 0 < missing <= usable and _worth(s, other) > _worth(s, record):
+        missing = _missing_count(s, other)
+        if 0 < missing <= usable and _importance(s, other) > _importance(s, record):
             return True
     return False
 
 
-def _missing(s: Situation, record: GroupRecord) -> int:
+def _missing_count(s: Situation, record: GroupRecord) -> int:
     verdict = _verdict(s, record)
     return sum(1 for m in record.members if _unusable(s, m, verdict))
 
 
-def _worth(s: Situation, record: GroupRecord) -> tuple[int, int, str]:
-    """Rank groups: by priority, then by how little is missing; the name breaks ties."""
-    return record.spec.priority, -_missing(s, record), record.group
+def _importance(s: Situation, record: GroupRecord) -> tuple[int, int, str]:
+    """Return the rank of a group: priority, then fewest missing members, then its name."""
+    return record.spec.priority, -_missing_count(s, record), record.group
 
 
 def _form(s: Situation) -> list[Action]:
--- a/src/oleanderhill/domains/planner.py
+++ b/src/oleanderhill/domains/planner.py
@@ -1,8 +1,8 @@
-"""Which fabric domain of a data centre holds which wanted group: a sticky assignment.
+"""Sticky assignment of wanted groups to the fabric domains of a data centre.
 
-One entry host of a data centre plans, by compare-and-swap on one key. A group keeps its domain
-unless the domain can't hold it for longer than the patience, so that a domain that went dark and
-came back does not undo what was settled meanwhile.
+One entry host of a data centre plans, by compare-and-swap on one key. A group moves only after its
+domain has had too few hosts for longer than the relocation delay (:func:`patience`). It doesn't
+move back when the domain recovers.
 """
 
 from __future__ import annotations
@@ -15,56 +15,61 @@
 from ..types import WantedGroup
 
 HOST_LOSSES_PER_SECOND = 760 / 40_000 / 86_400
-"""Losses of one host a second: 120 failures and 640 restarts a day over 40,000 hosts."""
+"""Losses per host and second: 120 failures and 640 restarts a day over 40,000 hosts."""
 
 MEAN_ABSENCE = 300.0
-"""Mean seconds until a lost host is back."""
+"""Mean seconds until a lost host returns."""
 
-PATIENCE_BASE = 30.0
-PATIENCE_MAX = 600.0
+RELOCATION_DELAY_BASE = 30.0
+"""Seconds before a group is relocated, at an exchange rate of eight."""
+
+RELOCATION_DELAY_MAX = 600.0
+"""Longest relocation delay in seconds, at any exchange rate."""
 
 
 class DomainState(NamedTuple):
-    """What the planner knows of a domain.
+    """The planner's view of a domain.
 
-    :param usable: hosts present and staying, whether in a group or free
-    :param dark_since: when the domain last had too few hosts for its groups, ``None`` if it has
+    :param usable: hosts present and not leaving, whether in a group or free
+    :param short_of_hosts_since: since when the domain has had too few hosts for its groups,
+        ``None`` if it has enough
     """
 
     usable: int
-    dark_since: float | None = None
+    short_of_hosts_since: float | None = None
 
 
 class Plan(NamedTuple):
-    """Domain by group for one data centre.
+    """The domain of each group in one data centre.
 
-    :param revision: raised with each change
+    :param revision: increases by one with each change
     """
 
     revision: int
     domain_by_group: dict[str, str]
 
 
-def spares_kept(hosts: int, exchange_rate: float) -> int:
-    """Return how many hosts of a domain to hold back as spares.
+def spare_count(hosts: int, exchange_rate: float) -> int:
+    """Return how many hosts of a domain to reserve as spares.
 
-    A spare strands one host all the time and saves, at each loss in the domain, the absence of
-    the lost host as downtime. It pays when rate x losses x absence exceeds one; a second spare
-    pays where two hosts are out together, whose rate is the square.
+    A spare permanently strands one host and saves, at each loss of a host, downtime for as long as
+    that host is absent. It pays off if exchange rate x loss rate x mean absence exceeds one. A
+    second spare pays off only while two hosts are absent together, for which the product of loss
+    rate and mean absence is squared.
     """
-    out_together = hosts * HOST_LOSSES_PER_SECOND * MEAN_ABSENCE
-    if exchange_rate * out_together <= 1.0:
+    mean_absent = hosts * HOST_LOSSES_PER_SECOND * MEAN_ABSENCE
+    if exchange_rate * mean_absent <= 1.0:
         return 0
-    return 1 + int(exchange_rate * out_together**2 > 1.0)
+    return 1 + int(exchange_rate * mean_absent**2 > 1.0)
 
 
 def patience(exchange_rate: float) -> float:
-    """Return seconds a group waits for its dark domain before it is planned elsewhere.
+    """Return seconds before a group leaves a domain that is short of hosts.
 
-    Downtime that is worth much makes the wait short: a move costs a load of weights and the
-    hosts of the other domain, which a cheap downtime does not repay.
+    The delay is short where downtime is expensive. A move costs a load of weights and hosts of
+    another domain, which is not worth saving cheap downtime.
     """
-    return min(PATIENCE_MAX, PATIENCE_BASE * 8.0 / max(exchange_rate, 0.1))
+    return min(RELOCATION_DELAY_MAX, RELOCATION_DELAY_BASE * 8.0 / max(exchange_rate, 0.1))
 
 
 def make_plan(
@@ -73,49 +78,52 @@
     wanted: Sequence[WantedGroup],
     state_by_domain: Mapping[str, DomainState],
     exchange_rate: float,
-    whole: frozenset[str] = frozenset(),
+    complete_groups: frozenset[str] = frozenset(),
 ) -> Plan:
-    """Return the plan to follow; the same object when nothing changes.
+    """Return the next plan, or ``current`` itself if nothing changes.
 
-    Groups are placed the whole ones first, then by priority and name: each into its present
-    domain while that can hold it, else into the fullest domain that still has room (best fit
-    keeps room for large groups), ties broken by rendezvous hash.
+    Complete groups are placed first, then the others, each by priority and name. A group stays in
+    its current domain while that can hold it. Otherwise it moves to the domain with the least
+    sufficient free capacity (best fit leaves space for large groups). Ties are broken by rendezvous
+    hash.
 
-    :param whole: groups that serve now; a domain that lost a few hosts keeps these
+    :param complete_groups: complete groups; a domain that lost a few hosts keeps these
     """
-    room = {
-        d: st.usable - spares_kept(st.usable, exchange_rate) for d, st in state_by_domain.items()
+    free_capacity = {
+        d: st.usable - spare_count(st.usable, exchange_rate) for d, st in state_by_domain.items()
     }
-    left = {d: st.usable for d, st in state_by_domain.items()}
+    usable_left = {d: st.usable for d, st in state_by_domain.items()}
     domain_by_group: dict[str, str] = {}
-    homeless: list[WantedGroup] = []
-    ordered = sorted(wanted, key=lambda w: (w.group not in whole, -w.spec.priority, w.group))
+    unplaced: list[WantedGroup] = []
+    ordered = sorted(
+        wanted, key=lambda w: (w.group not in complete_groups, -w.spec.priority, w.group)
+    )
     for item in ordered:
-        home = _present_home(item, current, wanted)
-        # A domain that is short of one host must not send all its groups away: those that its
-        # hosts still suffice for stay, whatever the patience.
-        fits = home is not None and left.get(home, 0) >= item.spec.hosts
-        if home is not None and (fits or _patient(now, home, state_by_domain, exchange_rate)):
-            domain_by_group[item.group] = home
-            room[home] = room.get(home, 0) - item.spec.hosts
-            left[home] = left.get(home, 0) - item.spec.hosts
+        domain = _current_domain(item, current, wanted)
+        # A domain that lacks one host must not lose all its groups. Those that its remaining
+        # hosts suffice for stay, also after the relocation delay.
+        fits = domain is not None and usable_left.get(domain, 0) >= item.spec.hosts
+        if domain is not None and (fits or _may_wait(now, domain, state_by_domain, exchange_rate)):
+            domain_by_group[item.group] = domain
+            free_capacity[domain] = free_capacity.get(domain, 0) - item.spec.hosts
+            usable_left[domain] = usable_left.get(domain, 0) - item.spec.hosts
         else:
-            homeless.append(item)
-    for item in homeless:
-        chosen = _best_fit(item, room)
+            unplaced.append(item)
+    for item in unplaced:
+        chosen = _best_fit(item, free_capacity)
         if chosen is None:
-            chosen = _present_home(item, current, wanted)
+            chosen = _current_domain(item, current, wanted)
         if chosen is None:
             continue
         domain_by_group[item.group] = chosen
-        room[chosen] = room.get(chosen, 0) - item.spec.hosts
+        free_capacity[chosen] = free_capacity.get(chosen, 0) - item.spec.hosts
     if domain_by_group == current.domain_by_group:
         return current
     return Plan(current.revision + 1, domain_by_group)
 
 
-def _present_home(item: WantedGroup, current: Plan, wanted: Sequence[WantedGroup]) -> str | None:
-    """Return the group's domain, or that of the group it replaces in a roll-out."""
+def _current_domain(item: WantedGroup, current: Plan, wanted: Sequence[WantedGroup]) -> str | None:
+    """Return the domain of the group, or of the group that it replaces in a roll-out."""
     if item.group in current.domain_by_group:
         return current.domain_by_group[item.group]
     slot = item.group.rsplit("#", 1)[-1]
@@ -127,19 +135,19 @@
     return None
 
 
-def _patient(
-    now: float, home: str, state_by_domain: Mapping[str, DomainState], exchange_rate: float
+def _may_wait(
+    now: float, domain: str, state_by_domain: Mapping[str, DomainState], exchange_rate: float
 ) -> bool:
-    state = state_by_domain.get(home)
+    state = state_by_domain.get(domain)
     if state is None:
         return False
-    if state.dark_since is None:
+    if state.short_of_hosts_since is None:
         return True
-    return now - state.dark_since < patience(exchange_rate)
+    return now - state.short_of_hosts_since < patience(exchange_rate)
 
 
-def _best_fit(item: WantedGroup, room: Mapping[str, int]) -> str | None:
-    fitting = {d: r for d, r in room.items() if r >= item.spec.hosts}
+def _best_fit(item: WantedGroup, free_capacity: Mapping[str, int]) -> str | None:
+    fitting = {d: r for d, r in free_capacity.items() if r >= item.spec.hosts}
     if not fitting:
         return None
     least = min(math.floor(r / item.spec.hosts) for r in fitting.values())
--- a/src/oleanderhill/domains/planning.py
+++ b/src/oleanderhill/domains/planning.py
@@ -1,4 +1,4 @@
-"""The task that plans which domain holds which group of its data centre, when it is its turn."""
+"""The task that assigns the groups of a data centre to fabric domains."""
 
 from __future__ import annotations
 
@@ -23,28 +23,29 @@
 from .messages import PlanChanged
 from .planner import DomainState, Plan, make_plan
 
-EVIDENCE_LIFE = 5.0
-"""Seconds for which what an owner said of its domain counts."""
+EVIDENCE_LIFETIME = 5.0
+"""Seconds for which an owner's evidence about its domain is valid."""
 
 
 def planner_of(data_centre: str, live: Iterable[str]) -> str | None:
-    """Return the entry host whose turn it is to plan, by rendezvous hash."""
+    """Return the entry host that plans for the data centre, chosen by rendezvous hash."""
     ranked = rendezvous(f"plan/{data_centre}", live)
     return ranked[0] if ranked else None
 
 
 class PlanBody(msgspec.Struct):
-    """The plan as stored."""
+    """The stored form of a plan."""
 
     revision: int
     domain_by_group: dict[str, str]
 
 
 class PlanningTask(Task):
-    """Owns the plan of this data centre.
+    """Maintains the plan of this data centre.
 
-    All entry hosts follow the plan; the one that ranks first for it by rendezvous hash writes it.
-    Two that both think they do are settled by compare-and-swap, so nothing rests on the turn.
+    All entry hosts follow the plan; the one that ranks first by rendezvous hash writes it. If two
+    write at the same time, compare-and-swap lets only one succeed, so correctness does not depend
+    on which host ranks first.
     """
 
     name = "planner"
@@ -58,8 +59,8 @@
         self._fleet = Fleet()
         self._hosts: dict[str, list[HostEntry]] = {}
         self._usable: dict[str, tuple[int, float]] = {}
-        self._needed: dict[str, int] = {}
-        self._dark_since: dict[str, float] = {}
+        self._hosts_needed: dict[str, int] = {}
+        self._short_of_hosts_since: dict[str, float] = {}
         self.plan = Plan(0, {})
 
     @singledispatchmethod
@@ -69,7 +70,7 @@
     @handle.register
     def _(self, message: FleetChanged) -> None:
         self._fleet = message.fleet
-        self._tell()
+        self._publish_plan()
 
     @handle.register
     def _(self, message: HostsChanged) -> None:
@@ -87,21 +88,21 @@
     def _(self, message: Document) -> None:
         body = msgspec.json.decode(message.body, type=PlanBody)
         self.plan = Plan(body.revision, body.domain_by_group)
-        self._tell()
+        self._publish_plan()
 
     async def tick(self) -> None:
-        """Plan, if it is this host's turn."""
+        """Update the plan, if this host is the planner."""
         now = time.monotonic()
-        self._note_dark(now)
+        self._update_shortages(now)
         members = self.kernel.find("membership", MembershipTask)
         live = members.live(self._data_centre)
         if not members.settled() or planner_of(self._data_centre, live) != self._host:
             return
         wanted = self.wanted()
-        held = self.kernel.find("router", RouterTask).router.by_group
-        whole = frozenset(g for g, e in held.items() if e.view.whole)
+        known = self.kernel.find("router", RouterTask).router.by_group
+        complete_groups = frozenset(g for g, e in known.items() if e.view.whole)
         rate = self._fleet.exchange_rate
-        plan = make_plan(now, self.plan, wanted, self._states(now), rate, whole)
+        plan = make_plan(now, self.plan, wanted, self._domain_states(now), rate, complete_groups)
         if plan is self.plan:
             return
         documents = self.kernel.find("documents", DocumentsTask)
@@ -110,38 +111,40 @@
         body = msgspec.json.encode(PlanBody(plan.revision, plan.domain_by_group))
         if await documents.write_plan(plan.revision, body):
             placed = len(plan.domain_by_group)
-            text = f"revision {plan.revision}, {placed} of {len(wanted)} groups have a domain"
+            text = (
+                f"revision {plan.revision}, {placed} of {len(wanted)} groups assigned to a domain"
+            )
             self._decisions.note("plan", self._data_centre, text)
 
     def wanted(self) -> tuple[WantedGroup, ...]:
         """Return the groups that the settings want in this data centre."""
         return self._fleet.wanted_by_data_centre.get(self._data_centre, ())
 
-    def _tell(self) -> None:
+    def _publish_plan(self) -> None:
         by_domain: dict[str, list[WantedGroup]] = {}
-        self._needed = {}
+        self._hosts_needed = {}
         for item in self.wanted():
             domain = self.plan.domain_by_group.get(item.group)
             if domain is not None:
                 by_domain.setdefault(domain, []).append(item)
-                self._needed[domain] = self._needed.get(domain, 0) + item.spec.hosts
+                self._hosts_needed[domain] = self._hosts_needed.get(domain, 0) + item.spec.hosts
         wanted = {d: tuple(g) for d, g in by_domain.items()}
         self.kernel.post("stewards", PlanChanged(wanted))
 
-    def _note_dark(self, now: float) -> None:
+    def _update_shortages(self, now: float) -> None:
         for domain, (usable, at) in self._usable.items():
-            enough = usable >= self._needed.get(domain, 0)
-            # Silence of an owner says nothing of its domain: the owner may have died.
-            if enough or now - at > EVIDENCE_LIFE:
-                self._dark_since.pop(domain, None)
+            enough = usable >= self._hosts_needed.get(domain, 0)
+            # Missing evidence doesn't mean that the domain lacks hosts: its owner may have crashed.
+            if enough or now - at > EVIDENCE_LIFETIME:
+                self._short_of_hosts_since.pop(domain, None)
             else:
-                self._dark_since.setdefault(domain, now)
+                self._short_of_hosts_since.setdefault(domain, now)
 
-    def _states(self, now: float) -> dict[str, DomainState]:
+    def _domain_states(self, now: float) -> dict[str, DomainState]:
         states = {}
         for domain, entries in self._hosts.items():
             usable, at = self._usable.get(domain, (len(entries), 0.0))
-            if now - at > EVIDENCE_LIFE:
+            if now - at > EVIDENCE_LIFETIME:
                 usable = len(entries)
-            states[domain] = DomainState(usable, self._dark_since.get(domain))
+            states[domain] = DomainState(usable, self._short_of_hosts_since.get(domain))
         return states
--- a/src/oleanderhill/domains/steward.py
+++ b/src/oleanderhill/domains/steward.py
@@ -1,13 +1,13 @@
-"""The steward of one fabric domain: ownership, placement and orders as one pure state machine.
+"""The controller of one fabric domain: ownership, placement and orders as a pure state machine.
 
-Events go in, effects come out; the shell in :mod:`.stewards` carries the effects out. At most one
-store call of a domain is in flight. All decisions are level-triggered: after a failure or a lost
-answer the ledger is read again and everything is decided afresh from what is there.
+It consumes events and returns effects, which the task in :mod:`.stewards` performs. A domain has
+at most one store call in flight. All decisions are level-triggered: after a failure or a lost
+response the ledger is read again and decisions are made anew from the current state.
 
-During a store outage the owner of a domain whose engines check fencing numbers goes on repairing
-against a ledger in memory (*unsaved*), and writes it when the store is back. Should another owner
-have taken over meanwhile, its orders carry a higher number and its ledger wins. Where engines
-ignore the number, no order is sent without a confirmation by the store.
+During a store outage the owner of a domain whose engines check fencing numbers continues to repair
+groups, using a ledger in memory (*unsaved*), and writes it when the store is available again. If
+another owner has taken over meanwhile, its orders carry a higher number and its ledger prevails.
+Where engines ignore the number, no order is sent without a recent confirmation by the store.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from . import placement
 from .hostwatch import HostWatch
 from .order_log import OrderLog
-from .orders import Due, OrderKey, due, order_key
+from .orders import DueOrder, OrderKey, due_orders, order_key
 from .placement import Policy, Situation
 from .stewardship import (
     AskTicket,
@@ -44,36 +44,43 @@
 )
 
 TICK = 0.5
+"""Seconds between ticks."""
+
 GAP = 1.5
-"""Seconds between ticks that mean this process was paused."""
+"""Seconds between two ticks above which the process counts as having been paused."""
 
 FIRST_ROUND = 1.3
-"""Seconds in which every host that is there has answered a probe: one tick and a probe's limit."""
+"""Seconds until every live host has answered a probe: one tick plus the timeout of a probe."""
+
+IDLE_CONFIRM_INTERVAL = 10.0
+"""Seconds between confirmations of ownership while no orders are due."""
+
+ACTIVE_CONFIRM_INTERVAL = 0.8
+"""Seconds between confirmations of ownership while orders are due."""
 
-IDLE_CONFIRM = 10.0
-"""Seconds between reads of the ledger while nothing is to be done."""
+STORE_RETRY_DELAY = 1.0
+"""Seconds before a failed store call is retried; grows with each further failure."""
 
-ACTIVE_CONFIRM = 0.8
-RETRY_STORE = 1.0
 DISPLACED_WAIT = 30.0
-"""Seconds a displaced owner waits before it takes the domain back; doubled each time."""
+"""Seconds before a displaced owner tries to take over again; doubles each time it is displaced."""
 
-OWNER_SILENT = 8.0
-"""Seconds without evidence from a live owner after which another takes the domain."""
+OWNER_TIMEOUT = 8.0
+"""Seconds without evidence from a live owner after which another entry host takes over."""
 
-DISPLACED_MAX = 480.0
+MAX_RETAKE_DELAY = 480.0
+"""Upper bound of the delay in seconds before a displaced owner tries to take over again."""
 
 
 class DomainSteward:
-    """What one entry host knows and does about one domain.
+    """Controls one domain on behalf of one entry host.
 
     :param me: name of this entry host
-    :param life: tells this process from an earlier one of the same name
-    :param fencing: the domain's engines check fencing numbers
+    :param incarnation: distinguishes this process from earlier ones of the same name
+    :param fencing: whether the domain's engines check fencing numbers
     """
 
     def __init__(
-        self, me: str, life: str, domain: str, policy: Policy, fencing: bool = True
+        self, me: str, incarnation: str, domain: str, policy: Policy, fencing: bool = True
     ) -> None:
         self.me = me
         self.domain = domain
@@ -87,58 +94,58 @@
         self.ledger = DomainLedger(domain)
         self.mine = Ownership(domain)
         self.unsaved = False
-        self._life = life
+        self._incarnation = incarnation
         self._index = 0
-        self._read_once = False
-        self._named = ("", 0)
-        self._named_at = 0.0
+        self._ledger_read = False
+        self._observed_owner = ("", 0)
+        self._owner_observed_since = 0.0
         self._call_started: float | None = None
-        self._writing: DomainLedger | None = None
-        self._next_store = 0.0
-        self._next_take = 0.0
-        self._displaced = DISPLACED_WAIT
-        self._takes = 0
+        self._write_in_flight: DomainLedger | None = None
+        self._next_store_call = 0.0
+        self._next_take_over = 0.0
+        self._retake_delay = DISPLACED_WAIT
+        self._take_over_attempts = 0
         self._last_tick: float | None = None
         self._watching_since = 0.0
         self._broken_since: dict[str, float] = {}
         self._draining_since: dict[str, float] = {}
-        self._sendings = OrderLog()
+        self._order_log = OrderLog()
         self._failures = 0
-        self._held_order = False
+        self._order_withheld = False
 
     # Inputs
 
     def ticket(self, key: OrderKey, wait: float, now: float) -> None:
-        """Take in the weight store's answer: load now, or ask again after ``wait`` seconds."""
-        self._sendings.ticket(key, wait, now)
+        """Apply the answer to a ticket request: granted or, if ``wait`` > 0, to be retried."""
+        self._order_log.ticket(key, wait, now)
 
     def store(self, event: StoreEvent, now: float) -> list[Effect]:
-        """Take in the answer to the store call in flight."""
+        """Apply the result of the store call in flight and return the resulting effects."""
         started = self._call_started if self._call_started is not None else now
         self._call_started = None
         match event:
             case LedgerAnswer(value, index):
-                return self._read(value, index, started, now)
+                return self._apply_read(value, index, started, now)
             case SwapAnswer(done):
-                return self._swapped(done, started, now)
+                return self._apply_swap(done, started, now)
             case StoreFailed(wrote):
                 return self._store_failed(wrote, now)
         return []
 
-    def cede(self) -> None:
-        """Stop owning the domain; another entry host takes it once this one has left."""
+    def release_ownership(self) -> None:
+        """Give up the domain for good; another entry host takes over once this one has left."""
         self.mine = owners.lost(self.mine)
-        self._next_take = float("inf")
+        self._next_take_over = float("inf")
 
     # Outputs
 
     @property
     def owned(self) -> bool:
-        """Tell whether this entry host believes that it owns the domain."""
+        """Return whether this entry host owns the domain, as far as it knows."""
         return self.mine.owned
 
     def may_send(self, order: Order, now: float) -> bool:
-        """Tell whether an order may leave at this very moment."""
+        """Return whether an order may be sent now."""
         if order.fence[0] != self.mine.epoch:
             return False
         if self.fencing:
@@ -146,7 +153,7 @@
         return owners.may_order(self.mine, now)
 
     def views(self, now: float) -> list[GroupView]:
-        """Return what to tell entry hosts about the domain's groups."""
+        """Return the current state of each group of the domain."""
         leaving = self.watch.leaving()
         return [
             view_of(record, self.watch.seen_by_host, leaving, now)
@@ -154,9 +161,9 @@
         ]
 
     def evidence(self, data_centre: str, now: float, full: bool) -> DomainEvidence:
-        """Return what to tell entry hosts about the domain.
+        """Return the evidence about the domain to send to entry hosts.
 
-        :param full: with the full records, not only the states
+        :param full: whether to include the group records in addition to the states
         """
         return DomainEvidence(
             self.domain,
@@ -169,153 +176,163 @@
         )
 
     def can_tell(self, now: float) -> bool:
-        """Tell whether the hosts have been watched for long enough to say who is missing.
+        """Return whether the hosts have been observed for long enough to publish evidence.
 
-        A new owner, or one that wakes from a pause, has no fresh reports. Its evidence would
-        close every group of the domain at every entry host until its probes are back.
+        A new owner, or one that resumes from a pause, has no fresh reports. Its evidence would
+        close every group of the domain at every entry host until its probes are answered.
         """
         return now - self._watching_since > FIRST_ROUND
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due."""
+        """Advance the state to ``now`` and return the effects that are due."""
         self._notice_pause(now)
         if not self.mine.owned:
-            return self._seek(now)
-        self._age(now)
+            return self._try_take_over(now)
+        self._update_timers(now)
         effects: list[Effect] = []
-        if owners.standing(self.mine, now) == Standing.OWNER and self._watched_enough(now):
+        if owners.standing(self.mine, now) == Standing.OWNER and self._reports_are_fresh(now):
             effects.extend(self._place(now))
-        orders = self._order(now)
+        orders = self._send_due_orders(now)
         effects.extend(orders)
-        effects.extend(self._confirm(now, bool(orders) or self._held_order))
+        effects.extend(self._confirm_ownership(now, bool(orders) or self._order_withheld))
         return effects
 
     # Ownership
 
-    def _seek(self, now: float) -> list[Effect]:
-        """Take the domain if membership suggests it and its owner is not there."""
+    def _try_take_over(self, now: float) -> list[Effect]:
+        """Start a take-over if membership suggests this host and the owner sends no evidence."""
         if not self.settled or not owners.should_own(self.domain, self.me, self.life_by_live):
             return []
-        if now < self._next_take or self._busy(now):
+        if now < self._next_take_over or self._store_busy(now):
             return []
-        if now - self.owner_heard_at < OWNER_SILENT / 2:
+        if now - self.owner_heard_at < OWNER_TIMEOUT / 2:
             return []
         return self._call_read(now)
 
-    def _read(self, value: bytes, index: int, started: float, now: float) -> list[Effect]:
+    def _apply_read(self, value: bytes, index: int, started: float, now: float) -> list[Effect]:
         self._failures = 0
         try:
             found = decode_ledger(value, self.domain)
         except msgspec.DecodeError as error:
-            self._next_store = now + RETRY_STORE
+            self._next_store_call = now + STORE_RETRY_DELAY
             return [Decided("fault", self.domain, f"malformed ledger: {error}")]
-        if self._read_once and ledgers.age_of(found) < ledgers.age_of(self.ledger):
-            return self._set_back(found, index, now)
+        if self._ledger_read and ledgers.age_of(found) < ledgers.age_of(self.ledger):
+            return self._rewrite_older_store(found, index, now)
         self._index = index
-        self._read_once = True
+        self._ledger_read = True
         if not self.mine.owned:
             self.ledger = found
-            return self._take(found, now)
+            return self._take_over(found, now)
         if found.owner != self.me or found.owner_epoch != self.mine.epoch:
-            return self._lose(found, now)
+            return self._apply_displacement(found, now)
         self.mine = owners.confirmed(self.mine, started)
         self.ledger = found
         return []
 
-    def _set_back(self, found: DomainLedger, index: int, now: float) -> list[Effect]:
-        """The store came back with an older copy: a value we saw outranks what it holds now."""
+    def _rewrite_older_store(self, found: DomainLedger, index: int, now: float) -> list[Effect]:
+        """Handle a store that was restored from an older copy.
+
+        The newer ledger in memory takes precedence: the owner writes it back, and another entry
+        host bases a take-over on it.
+        """
         self._index = index
         if self.unsaved:
             return []
-        text = f"store holds version {ledgers.age_of(found)}, seen {ledgers.age_of(self.ledger)}"
+        text = f"store has version {ledgers.age_of(found)}, last seen {ledgers.age_of(self.ledger)}"
         if not self.mine.owned:
-            return [Decided("fault", self.domain, text), *self._take(self.ledger, now)]
+            return [Decided("fault", self.domain, text), *self._take_over(self.ledger, now)]
         self.unsaved = True
-        return [Decided("fault", self.domain, text + "; writing ours back")]
+        return [Decided("fault", self.domain, text + "; writing the newer ledger back")]
 
-    def _take(self, found: DomainLedger, now: float) -> list[Effect]:
+    def _take_over(self, found: DomainLedger, now: float) -> list[Effect]:
         ours = found.owner == self.me and found.write_id == self._write_id()
-        if ours and self._takes:
-            return self._taken(found, now)
-        # A live owner keeps its domain: moving it for balance would pause repairs for the wait.
+        if ours and self._take_over_attempts:
+            return self._apply_take_over(found, now)
+        # A live owner keeps its domain: rebalancing would suspend repairs for the take-over wait.
         if self._owner_acts(found, now):
-            self._next_take = now + IDLE_CONFIRM
+            self._next_take_over = now + IDLE_CONFIRM_INTERVAL
             return []
-        self._takes += 1
-        wanted = ledgers.taken(found, self.me, self._life)._replace(write_id=self._write_id())
+        self._take_over_attempts += 1
+        wanted = ledgers.with_owner(found, self.me, self._incarnation)._replace(
+            write_id=self._write_id()
+        )
         return self._call_swap(wanted, now)
 
     def _owner_acts(self, found: DomainLedger, now: float) -> bool:
-        """Tell whether the owner named in the ledger is there and acts as one.
+        """Return whether the owner named in the ledger is alive and acts as the owner.
 
-        A restarted owner knows nothing of what it owned, so its name alone is not enough. Nor is
-        its life: its take-over may have landed after it gave the write up, and then it does not
-        know that it owns. So it must also be heard of, as the sender of evidence.
+        A live host of that name is not sufficient: a restarted host no longer knows what it owned.
+        Neither is the same incarnation: if its take-over was written after the call had timed out,
+        it doesn't know that it is the owner. It must therefore also send evidence.
         """
         if found.owner == self.me:
             return False
         if self.life_by_live.get(found.owner) != found.owner_life:
             return False
-        named = (found.owner, found.owner_epoch)
-        if named != self._named:
-            self._named, self._named_at = named, now
-        return now - max(self._named_at, self.owner_heard_at) < OWNER_SILENT
+        owner = (found.owner, found.owner_epoch)
+        if owner != self._observed_owner:
+            self._observed_owner, self._owner_observed_since = owner, now
+        return now - max(self._owner_observed_since, self.owner_heard_at) < OWNER_TIMEOUT
 
     def _write_id(self) -> str:
-        return f"{self.me}/{self._life}/{self._takes}"
+        return f"{self.me}/{self._incarnation}/{self._take_over_attempts}"
 
-    def _taken(self, ledger: DomainLedger, now: float) -> list[Effect]:
+    def _apply_take_over(self, ledger: DomainLedger, now: float) -> list[Effect]:
         self.ledger = ledger
         self.mine = owners.took(self.domain, ledger.owner_epoch, now, now)
         self.unsaved = False
         self._watching_since = now
         self._broken_since = dict.fromkeys(ledger.groups, now)
         self._draining_since = {}
-        self._sendings.forget_sendings()
-        text = f"took it at owner epoch {ledger.owner_epoch}"
+        self._order_log.clear_sent()
+        text = f"took over at owner epoch {ledger.owner_epoch}"
         return [Decided("own", self.domain, text), *self._call_read(now)]
 
-    def _lose(self, found: DomainLedger, now: float) -> list[Effect]:
+    def _apply_displacement(self, found: DomainLedger, now: float) -> list[Effect]:
         self.mine = owners.lost(self.mine)
         self.ledger = found
         self.unsaved = False
-        # Two entry hosts that see the store but not each other would take the domain from each
-        # other for ever, and nobody would ever get past the wait to repair anything.
-        self._next_take = now + self._displaced
-        self._displaced = min(DISPLACED_MAX, 2 * self._displaced)
-        return [Decided("own", self.domain, f"lost it to {found.owner} at {found.owner_epoch}")]
-
-    def _confirm(self, now: float, active: bool) -> list[Effect]:
-        if self._busy(now):
+        # Two entry hosts that reach the store but not each other would otherwise displace each
+        # other endlessly, and neither would complete the take-over wait and repair any group.
+        self._next_take_over = now + self._retake_delay
+        self._retake_delay = min(MAX_RETAKE_DELAY, 2 * self._retake_delay)
+        return [
+            Decided(
+                "own", self.domain, f"displaced by {found.owner} at owner epoch {found.owner_epoch}"
+            )
+        ]
+
+    def _confirm_ownership(self, now: float, active: bool) -> list[Effect]:
+        if self._store_busy(now):
             return []
         if self.unsaved:
             return self._call_swap(self.ledger, now)
         age = now - self.mine.confirmed_at
-        if age < (ACTIVE_CONFIRM if active else IDLE_CONFIRM):
+        if age < (ACTIVE_CONFIRM_INTERVAL if active else IDLE_CONFIRM_INTERVAL):
             return []
         return self._call_read(now)
 
     # Store calls
 
-    def _busy(self, now: float) -> bool:
-        return self._call_started is not None or now < self._next_store
+    def _store_busy(self, now: float) -> bool:
+        return self._call_started is not None or now < self._next_store_call
 
     def _call_read(self, now: float) -> list[Effect]:
         self._call_started = now
-        self._writing = None
+        self._write_in_flight = None
         return [ReadLedger(self.domain)]
 
     def _call_swap(self, ledger: DomainLedger, now: float) -> list[Effect]:
         self._call_started = now
-        self._writing = ledger
+        self._write_in_flight = ledger
         return [SwapLedger(self.domain, encode_ledger(ledger), self._index)]
 
-    def _swapped(self, done: bool, started: float, now: float) -> list[Effect]:
-        written, self._writing = self._writing, None
+    def _apply_swap(self, done: bool, started: float, now: float) -> list[Effect]:
+        written, self._write_in_flight = self._write_in_flight, None
         if not done or written is None:
             return self._call_read(now)
         if not self.mine.owned:
-            return self._taken(written, now)
+            return self._apply_take_over(written, now)
         self.mine = owners.confirmed(self.mine, started)
         if self.unsaved:
             self.unsaved = self.ledger is not written
@@ -325,8 +342,8 @@
 
     def _store_failed(self, wrote: bool, now: float) -> list[Effect]:
         self._failures += 1
-        self._next_store = now + min(5.0, RETRY_STORE * self._failures)
-        written, self._writing = self._writing, None
+        self._next_store_call = now + min(5.0, STORE_RETRY_DELAY * self._failures)
+        written, self._write_in_flight = self._write_in_flight, None
         if not wrote or written is None or not self.mine.owned:
             return []
         if not self.fencing:
@@ -334,27 +351,33 @@
         if not self.unsaved:
             self.ledger = written
             self.unsaved = True
-            return [Decided("own", self.domain, "store is out; going on unsaved, engines fence")]
+            return [
+                Decided(
+                    "own",
+                    self.domain,
+                    "store unavailable; continuing unsaved, engines check fencing numbers",
+                )
+            ]
         return []
 
     # Placement
 
     def _notice_pause(self, now: float) -> None:
-        """Forget what a pause made stale.
+        """Restart the observation of hosts and groups after a pause of this process.
 
-        After a pause all reports are old and every member looks silent. Without this the owner
-        would wake and repair every group at once.
+        After a pause all reports are old and every member looks silent. Otherwise the owner would
+        repair every group as soon as it resumes.
         """
         if self._last_tick is not None and now - self._last_tick > GAP:
             self._watching_since = now
             self._broken_since = dict.fromkeys(self.ledger.groups, now)
         self._last_tick = now
 
-    def _watched_enough(self, now: float) -> bool:
+    def _reports_are_fresh(self, now: float) -> bool:
         return now - self._watching_since > EVIDENCE_MAX_AGE
 
-    def _age(self, now: float) -> None:
-        """Keep the times since which groups are broken or draining."""
+    def _update_timers(self, now: float) -> None:
+        """Update the times since which groups are incomplete or draining."""
         for view in self.views(now):
             if view.accepting or view.group not in self._broken_since:
                 self._broken_since[view.group] = now
@@ -365,7 +388,7 @@
                 del times[group]
 
     def situation(self, now: float) -> Situation:
-        """Return what placement decides on."""
+        """Return the input of placement."""
         return Situation(
             now,
             self.ledger,
@@ -379,7 +402,9 @@
         )
 
     def _place(self, now: float) -> list[Effect]:
-        waits_for_store = self._writing is not None or (self._busy(now) and not self.unsaved)
+        waits_for_store = self._write_in_flight is not None or (
+            self._store_busy(now) and not self.unsaved
+        )
         if waits_for_store:
             return []
         actions = placement.decide(self.situation(now))
@@ -389,7 +414,7 @@
         notes: list[Effect] = []
         for action in actions:
             wanted = placement.apply(wanted, action)
-            notes.append(_note(self.domain, action))
+            notes.append(_describe_action(self.domain, action))
         if self.unsaved:
             self.ledger = wanted
             return notes
@@ -397,36 +422,38 @@
 
     # Orders
 
-    def _order(self, now: float) -> list[Effect]:
-        if self._writing is not None and not self.unsaved:
+    def _send_due_orders(self, now: float) -> list[Effect]:
+        if self._write_in_flight is not None and not self.unsaved:
             return []
-        self._held_order = False
-        self._sendings.forget_old(self.ledger, now)
-        sent_at = self._sendings.sent_at
-        found = due(self.ledger, self.watch.entry_by_host, self.watch.seen_by_host, sent_at, now)
+        self._order_withheld = False
+        self._order_log.prune(self.ledger, now)
+        sent_at = self._order_log.sent_at
+        found = due_orders(
+            self.ledger, self.watch.entry_by_host, self.watch.seen_by_host, sent_at, now
+        )
         effects: list[Effect] = []
         for item in found:
-            effects.extend(self._order_one(item, now))
+            effects.extend(self._send_order(item, now))
         return effects
 
-    def _order_one(self, item: Due, now: float) -> list[Effect]:
+    def _send_order(self, item: DueOrder, now: float) -> list[Effect]:
         key = order_key(item.order)
-        if item.needs_weights > 0 and not self._sendings.may_load(key):
-            asks = self._sendings.ask(key, now)
-            return [AskTicket(key, item.needs_weights)] if asks else []
+        if item.read_gb > 0 and not self._order_log.has_ticket(key):
+            should_ask = self._order_log.start_request(key, now)
+            return [AskTicket(key, item.read_gb)] if should_ask else []
         self.mine, fence = owners.next_fence(self.mine)
         order = item.order._replace(fence=fence)
         if not self.may_send(order, now):
-            self._held_order = True
+            self._order_withheld = True
             return []
-        self._sendings.sent(key, now)
+        self._order_log.sent(key, now)
         if order.kind == "load":
             self.watch.expect_load(order.host, now)
         text = f"{order.kind} {order.group} epoch {order.epoch} rank {order.rank}"
         return [SendOrder(order), Decided("order", order.host, text, (order.group,))]
 
 
-def _note(domain: str, action: placement.Action) -> Decided:
+def _describe_action(domain: str, action: placement.Action) -> Decided:
     match action:
         case placement.Form(wanted, members, reason):
             hosts = " ".join(m.host for m in members)
--- a/src/oleanderhill/domains/stewards.py
+++ b/src/oleanderhill/domains/stewards.py
@@ -1,4 +1,4 @@
-"""The task that runs the domain stewards: probes, store calls, orders and evidence."""
+"""The task that runs the domain controllers: probes, store calls, orders and evidence."""
 
 from __future__ import annotations
 
@@ -31,16 +31,23 @@
 from .placement import Policy
 from .planning import planner_of
 from .steward import TICK, DomainSteward
-from .tally import Gauges, Sums, added, measure
+from .tally import Gauges, Sums, accumulate, measure
 
 PLANNER_EVERY = 2.0
+"""Seconds between updates of a domain that are sent to the planner."""
+
 FAR_VIEW_DOMAINS = 1
+"""Domains of each remote data centre about which an entry host receives evidence."""
+
 VIEW_DOMAINS = 6
-"""Domains of one data centre that an entry host hears of; bounds its view at any fleet size."""
+"""Domains of its own data centre about which an entry host receives evidence.
+
+Bounds the view of an entry host at any fleet size.
+"""
 
 
 class Stewards(Task):
-    """Owns the stewards of the domains of this data centre."""
+    """Runs a controller for each domain of this data centre."""
 
     name = "stewards"
     interval = TICK
@@ -49,7 +56,7 @@
         self,
         kernel: Kernel,
         host: str,
-        life: str,
+        incarnation: str,
         data_centre: str,
         store: StoreClient,
         targets: TargetClient,
@@ -58,17 +65,17 @@
     ) -> None:
         super().__init__(kernel)
         self._host = host
-        self._life = life
+        self._incarnation = incarnation
         self._data_centre = data_centre
         self._store = store
         self._targets = targets
         self._decisions = decisions
         self._fleet = Fleet()
         self._wanted: dict[str, tuple[WantedGroup, ...]] = {}
-        self._planner_told_at: dict[str, float] = {}
-        self._told_version: dict[str, tuple[int, int]] = {}
+        self._planner_updated_at: dict[str, float] = {}
+        self._sent_version: dict[str, tuple[int, int]] = {}
         self._metrics = metrics
-        self._tallied_at = time.monotonic()
+        self._measured_at = time.monotonic()
         self.by_domain: dict[str, DomainSteward] = {}
         self.gauges_by_domain: dict[str, Gauges] = {}
         self.sums = Sums()
@@ -84,7 +91,7 @@
         for entry in message.hosts:
             by_domain.setdefault(entry.domain, []).append(entry)
         for domain in by_domain.keys() - self.by_domain.keys():
-            self.by_domain[domain] = self._make(domain)
+            self.by_domain[domain] = self._make_steward(domain)
         for domain, steward in self.by_domain.items():
             steward.watch.hosts(by_domain.get(domain, []))
 
@@ -103,7 +110,7 @@
 
     @singledispatchmethod
     def receive(self, body: Any, envelope: Received) -> None:
-        """Handle a peer's message."""
+        """Handle a message from a peer."""
 
     @receive.register
     def _(self, body: RecordsWanted, envelope: Received) -> None:
@@ -114,7 +121,7 @@
             self.kernel.post("peers", SendTo(envelope.address, evidence))
 
     async def tick(self) -> None:
-        """Tick every steward, probe the hosts of owned domains, publish evidence."""
+        """Run every controller, probe the hosts of owned domains and publish evidence."""
         now = time.monotonic()
         members = self.kernel.find("membership", MembershipTask)
         life_by_live = {h: r.life for h, r in members.live(self._data_centre).items()}
@@ -129,32 +136,32 @@
                     self.spawn(self._probe(steward, entry))
                 if steward.can_tell(now):
                     self._publish(domain, steward, now)
-        self._tally(now)
+        self._update_measures(now)
 
     def release(self) -> int:
-        """Give up all domains, at shutdown; return how many there were."""
+        """Give up all owned domains at shutdown and return their number."""
         owned = [s for s in self.by_domain.values() if s.owned]
         for steward in owned:
-            steward.cede()
+            steward.release_ownership()
         return len(owned)
 
-    def _tally(self, now: float) -> None:
-        seconds, self._tallied_at = now - self._tallied_at, now
+    def _update_measures(self, now: float) -> None:
+        seconds, self._measured_at = now - self._measured_at, now
         self.gauges_by_domain = {
             d: measure(s.ledger, s.wanted, s.views(now), s.watch.seen_by_host)
             for d, s in self.by_domain.items()
             if s.owned
         }
         for gauges in self.gauges_by_domain.values():
-            self.sums = added(self.sums, gauges, seconds)
+            self.sums = accumulate(self.sums, gauges, seconds)
         self._metrics.gauge("groups_down", sum(g.down for g in self.gauges_by_domain.values()))
         stranded = sum(g.stranded for g in self.gauges_by_domain.values())
         self._metrics.gauge("hosts_stranded", stranded)
 
-    def _make(self, domain: str) -> DomainSteward:
+    def _make_steward(self, domain: str) -> DomainSteward:
         fencing = domain not in self._fleet.domains_without_fencing
         policy = Policy(exchange_rate=self._fleet.exchange_rate)
-        steward = DomainSteward(self._host, self._life, domain, policy, fencing)
+        steward = DomainSteward(self._host, self._incarnation, domain, policy, fencing)
         steward.wanted = self._wanted.get(domain, ())
         return steward
 
@@ -191,8 +198,8 @@
         self._perform(steward, steward.store(event, time.monotonic()))
 
     async def _send(self, steward: DomainSteward, order: Order) -> None:
-        # Asked again here: between the decision and this line the process may have been paused,
-        # and another owner may act by now.
+        # Checked again here: the process may have been paused since the decision, and another
+        # owner may have taken over.
         if not steward.may_send(order, time.monotonic()):
             self._decisions.note("order", order.host, "withheld: ownership not confirmed")
             return
@@ -221,31 +228,32 @@
     def _publish(self, domain: str, steward: DomainSteward, now: float) -> None:
         version = (steward.mine.epoch, steward.ledger.version)
         full = steward.evidence(self._data_centre, now, True)
-        changed = self._told_version.get(domain) != version
-        self._told_version[domain] = version
+        changed = self._sent_version.get(domain) != version
+        self._sent_version[domain] = version
         for name in ("router", "planner"):
             self.kernel.post(name, LocalEvidence(full, now))
         evidence = full if changed else full._replace(records=())
-        for address in self._audience(domain):
+        for address in self._recipients(domain):
             self.kernel.post("peers", SendTo(address, evidence))
-        self._tell_planner(domain, full, now)
+        self._update_planner(domain, full, now)
 
-    def _tell_planner(self, domain: str, evidence: DomainEvidence, now: float) -> None:
-        """Tell the planner of this data centre, which must hear of all domains, but less often."""
-        if now - self._planner_told_at.get(domain, float("-inf")) < PLANNER_EVERY:
+    def _update_planner(self, domain: str, evidence: DomainEvidence, now: float) -> None:
+        """Send evidence to the planner, which needs it for all domains, but less often."""
+        if now - self._planner_updated_at.get(domain, float("-inf")) < PLANNER_EVERY:
             return
-        self._planner_told_at[domain] = now
+        self._planner_updated_at[domain] = now
         live = self.kernel.find("membership", MembershipTask).live(self._data_centre)
         planner = planner_of(self._data_centre, live)
         if planner is not None and planner != self._host:
             self.kernel.post("peers", SendTo(live[planner].address, evidence))
 
-    def _audience(self, domain: str) -> list[str]:
-        """Return the entry hosts that hear of a domain.
+    def _recipients(self, domain: str) -> list[str]:
+        """Return the addresses of the entry hosts that receive evidence about a domain.
 
-        Each of them hears of at most :data:`VIEW_DOMAINS` domains of this data centre, and those
-        of other data centres of :data:`FAR_VIEW_DOMAINS`, chosen by rendezvous hash, so that a
-        view and its traffic don't grow with the fleet. Where there are few domains all hear all.
+        An entry host of this data centre receives evidence about :data:`VIEW_DOMAINS` domains, one
+        of another data centre about :data:`FAR_VIEW_DOMAINS`, chosen by rendezvous hash, so that
+        views and their traffic don't grow with the fleet. Up to :data:`VIEW_DOMAINS` domains in
+        total, every entry host receives evidence about all of them.
         """
         members = self.kernel.find("membership", MembershipTask)
         domains = list(self.by_domain)
@@ -253,10 +261,10 @@
         return [
             row.address
             for row in members.live().values()
-            if row.host != self._host and (few or domain in self._view_of(row, domains))
+            if row.host != self._host and (few or domain in self._domains_sent_to(row, domains))
         ]
 
-    def _view_of(self, row: Row, domains: list[str]) -> tuple[str, ...]:
-        near = row.data_centre == self._data_centre
-        count = VIEW_DOMAINS if near else FAR_VIEW_DOMAINS
+    def _domains_sent_to(self, row: Row, domains: list[str]) -> tuple[str, ...]:
+        is_local = row.data_centre == self._data_centre
+        count = VIEW_DOMAINS if is_local else FAR_VIEW_DOMAINS
         return rendezvous(f"view/{row.host}", domains, count)
--- a/src/oleanderhill/domains/stewardship.py
+++ b/src/oleanderhill/domains/stewardship.py
@@ -1,4 +1,4 @@
-"""What a domain's steward asks its shell to do, and what the shell answers."""
+"""Effects that a domain controller requests from its task, and results of store calls."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class SendOrder(NamedTuple):
-    """Effect: send an order, after asking :meth:`DomainSteward.may_send` once more."""
+    """Effect: send an order, after checking :meth:`DomainSteward.may_send` again."""
 
     order: Order
 
 
 class AskTicket(NamedTuple):
-    """Effect: ask the weight store for leave to load."""
+    """Effect: request a ticket from the weight store, which permits reading the weights."""
 
     key: OrderKey
     gigabytes: float
@@ -47,20 +47,23 @@
 
 
 class LedgerAnswer(NamedTuple):
-    """The ledger as read; ``value`` is empty where there is none yet."""
+    """Result of a read; ``value`` is empty if the ledger doesn't exist yet."""
 
     value: bytes
     modify_index: int
 
 
 class SwapAnswer(NamedTuple):
-    """The store said whether the ledger was written."""
+    """Result of a write: whether the ledger was still at the expected index and was replaced."""
 
     done: bool
 
 
 class StoreFailed(NamedTuple):
-    """The store call failed; a write may have landed."""
+    """A store call failed; if it was a write, it may still have taken effect.
+
+    :param wrote: whether the call was a write
+    """
 
     wrote: bool
 
@@ -70,12 +73,12 @@
 
 
 def encode_ledger(ledger: DomainLedger) -> bytes:
-    """Return a ledger as stored."""
+    """Return the stored form of a ledger."""
     return msgspec.json.encode(ledger)
 
 
 def decode_ledger(value: bytes, domain: str) -> DomainLedger:
-    """Return the ledger of a stored value, an empty one for no value.
+    """Return the ledger of a stored value, or an empty ledger for an empty value.
 
     :raises msgspec.DecodeError: if the value is not a ledger
     """
--- a/src/oleanderhill/domains/tally.py
+++ b/src/oleanderhill/domains/tally.py
@@ -1,4 +1,4 @@
-"""The two measures of the operators: group downtime and stranded hosts, summed over time."""
+"""Group downtime and stranded hosts, as current values and as totals over time."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from ..types import DomainLedger, EngineState, GroupView, SeenReport, WantedGroup
 from .ledger import holder_by_host
 
-LONGEST_STEP = 5.0
-"""Seconds of a step that count; a longer one means this process was paused and saw nothing."""
+MAX_STEP_SECONDS = 5.0
+"""Longest step in seconds that is counted in full; longer ones mean the process was paused."""
 
 
 class Sums(NamedTuple):
-    """Both measures since this entry host took the domain.
+    """Totals over the domains that this entry host owns, accumulated while it owns them.
 
     :param downtime: group-seconds in which a wanted group did not serve
-    :param stranded: host-seconds in which a host was held by a group that did not serve
+    :param stranded: host-seconds in which a host was stranded (see :func:`stranded_hosts`)
     """
 
     downtime: float = 0.0
@@ -24,7 +24,7 @@
 
 
 class Gauges(NamedTuple):
-    """Both measures at one moment: groups down, hosts stranded."""
+    """The current number of groups down and of hosts stranded in one domain."""
 
     down: int
     stranded: int
@@ -37,25 +37,27 @@
     seen_by_host: Mapping[str, SeenReport],
 ) -> Gauges:
     """Return the groups down and hosts stranded in one domain now."""
-    whole = {v.group for v in views if v.whole}
-    down = sum(1 for w in wanted if w.group not in whole)
+    serving = {v.group for v in views if v.whole}
+    down = sum(1 for w in wanted if w.group not in serving)
     return Gauges(down, len(stranded_hosts(ledger, views, seen_by_host)))
 
 
 def stranded_hosts(
     ledger: DomainLedger, views: Iterable[GroupView], seen_by_host: Mapping[str, SeenReport]
 ) -> set[str]:
-    """Return the hosts held by groups that don't serve, and those that hold what no group has."""
+    """Return the hosts of groups that don't serve, and unassigned hosts that are not empty."""
     serving = {v.group for v in views if v.whole}
-    held = holder_by_host(ledger)
-    idle = {h for h, g in held.items() if g not in serving}
-    left_over = {
-        h for h, s in seen_by_host.items() if h not in held and s.report.state != EngineState.EMPTY
+    assigned = holder_by_host(ledger)
+    idle = {h for h, g in assigned.items() if g not in serving}
+    not_emptied = {
+        h
+        for h, s in seen_by_host.items()
+        if h not in assigned and s.report.state != EngineState.EMPTY
     }
-    return idle | left_over
+    return idle | not_emptied
 
 
-def added(sums: Sums, gauges: Gauges, seconds: float) -> Sums:
-    """Return the sums after a step of time at these gauges."""
-    step = min(max(0.0, seconds), LONGEST_STEP)
+def accumulate(sums: Sums, gauges: Gauges, seconds: float) -> Sums:
+    """Return the totals after a step of time at these values."""
+    step = min(max(0.0, seconds), MAX_STEP_SECONDS)
     return Sums(sums.downtime + gauges.down * step, sums.stranded + gauges.stranded * step)
--- a/tests/test_domain.py
+++ b/tests/test_domain.py
@@ -1,4 +1,4 @@
-"""Scripted faults of a domain, over several seeds, against the oracle of the world."""
+"""Scripted faults in a simulated domain, over several seeds, checked by its oracle."""
 
 import unittest
 
@@ -21,10 +21,10 @@
             yield world
 
     def test_orders_of_two_owners_never_interleave(self):
-        # The engines ignore fencing numbers and keep losing what they hold, so there is always
-        # something to order. The owner is cut off from its peers, which take its domain, and
-        # from the store at the moment when they do. It goes on ordering for as long as it was
-        # confirmed; the taker waits that time out.
+        # The engines ignore fencing numbers and are emptied repeatedly, so orders are always due.
+        # The owner is partitioned from its peers and, when one of them takes over its domain,
+        # from the store. It sends orders until its confirmation expires; the new owner must wait
+        # until then.
         for seed in range(10):
             world = DomainWorld(seed, fencing=False)
             world.until_all_serve(60.0)
@@ -49,8 +49,8 @@
             self.assertLess(world.until_all_serve(15.0), 15.0)
 
     def test_death_that_is_seen_closes_the_group_at_once(self):
-        # Only the engine's process dies; its host refuses the next probe. The group must not
-        # live on for the age of the last report.
+        # Only the engine's process crashes, and its host refuses the next probe. The group must
+        # close immediately, not only when the last report expires.
         for tenths in range(1, 11):
             world = DomainWorld(1)
             world.until_all_serve(60.0)
@@ -61,8 +61,8 @@
             self.assertNotIn("h0", sending)
 
     def test_hollow_host_is_not_believed(self):
-        # A member dies and comes back within the probe interval. It reports its old group,
-        # epoch, rank and "ready", but holds nothing; only its boot id is new.
+        # A member restarts within the probe interval. It reports its old group, epoch, rank and
+        # "ready", but has nothing loaded; only its boot id is new.
         for world in self.worlds():
             for host in world.engines:
                 world.reboot(host, hollow=True)
@@ -101,8 +101,8 @@
                     self.assertTrue(world.all_serve())
 
     def test_groups_serve_while_their_domain_has_no_owner(self):
-        # The owner dies. Until another has taken the domain nobody publishes evidence; each
-        # entry host asks the members itself.
+        # The owner crashes. Until another entry host takes over, nobody publishes evidence, and
+        # each entry host must probe the members itself.
         for world in self.worlds():
             world.kill_node(owner_of(world))
             alive = [n for n in world.nodes.values() if n.alive]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement and repair within one domain."""
+"""Placement and repair within one domain, and invariants of its ledger."""
 
 import unittest
 
@@ -62,8 +62,8 @@
         self.assertEqual(decide(situation(reports=[report("a")])), [])
 
     def test_host_that_just_let_go_is_not_given_to_another_group(self):
-        # A cut-off entry host still sends to the host's last group, on evidence up to two
-        # seconds old. Given away at once, the host would serve for two groups.
+        # A partitioned entry host still sends requests to the host's last group, on evidence up
+        # to two seconds old. Assigned immediately, the host would serve for two groups.
         just = {"a": NOW - 0.5, "b": NOW - 60.0}
         reports = [report("a"), report("b")]
         self.assertEqual(decide(situation(reports=reports, empty_since=just)), [])
@@ -89,8 +89,8 @@
         self.assertEqual(decide(s), [])
 
     def test_rebooted_member_is_bound_again_in_its_new_boot(self):
-        # The host answers probes as if nothing had happened, but in a new boot: its weights
-        # are gone. The group gets a new epoch bound to the new boot.
+        # The host reports its old role from a new boot, in which its weights are not loaded.
+        # The group must be rebound to the new boot at a new epoch.
         s = situation([record()], [serving("a", 0), serving("b", 1, boot="2")])
         (action,) = decide(s)
         self.assertIsInstance(action, Rebind)
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -1,9 +1,9 @@
-"""The steward of a domain: ownership, pauses, the store's faults, orders."""
+"""The controller of a domain: ownership, pauses, store faults and orders."""
 
 import unittest
 
 from oleanderhill.domains import placement, stewardship
-from oleanderhill.domains.orders import OrderKey, due
+from oleanderhill.domains.orders import OrderKey, due_orders
 from oleanderhill.domains.placement import Policy
 from oleanderhill.domains.steward import TICK, DomainSteward
 from oleanderhill.domains.stewardship import encode_ledger
@@ -24,7 +24,7 @@
 
 
 def own(steward, now, records=()):
-    """Let the steward take a ledger that holds these groups."""
+    """Make the controller take over a ledger with these groups."""
     found = DomainLedger(
         "d", owner_epoch=3, groups={r.group: r for r in records}, last_epoch={GROUP: 1}
     )
@@ -37,18 +37,18 @@
     steward.store(stewardship.LedgerAnswer(encode_ledger(taken), 2), now)
 
 
-def feed(steward, reports, now):
+def apply_reports(steward, reports, now):
     for item in reports:
         steward.watch.saw(SeenReport(item, now))
 
 
 def run(steward, start, seconds, reports):
-    """Tick for a while with these reports; return all effects, the store answering nothing."""
+    """Tick for some seconds with these reports and no store answers; return effects and time."""
     effects = []
     now = start
     while now < start + seconds:
         now += TICK
-        feed(steward, reports, now)
+        apply_reports(steward, reports, now)
         effects += steward.tick(now)
     return effects, now
 
@@ -63,8 +63,8 @@
 
 class StewardTest(unittest.TestCase):
     def test_taker_waits_before_it_acts(self):
-        # The displaced owner may send orders for the rest of its confirmation; a taker that
-        # acted at once would have its orders mixed with those.
+        # The displaced owner may send orders until its confirmation expires. Orders that the new
+        # owner sent before then would interleave with them.
         steward = make_steward()
         own(steward, 100.0)
         effects, _ = run(steward, 100.0, 2.0, [report("a"), report("b")])
@@ -73,8 +73,8 @@
         self.assertTrue(swaps(effects))
 
     def test_owner_that_wakes_from_a_pause_repairs_nothing(self):
-        # The process is stopped for long. On waking all its reports are old and every
-        # member looks dead; it must look again before it takes groups apart.
+        # After a long pause of the process all reports are old and every member looks silent.
+        # The owner must probe again before it repairs or dissolves groups.
         steward = make_steward()
         own(steward, 100.0, [record()])
         whole = [serving("a", 0), serving("b", 1), report("c")]
@@ -86,8 +86,8 @@
         self.assertFalse(swaps(effects))
 
     def test_displaced_owner_waits_before_it_takes_back(self):
-        # Two entry hosts reach the store but not each other, and each thinks that the domain
-        # is its own. Were they to take it in turns at once, neither would ever repair.
+        # Two entry hosts reach the store but not each other, and membership suggests the domain
+        # to both. If they displaced each other without delay, neither would repair any group.
         steward = make_steward()
         own(steward, 100.0)
         other = OWNED._replace(owner="e2", owner_epoch=9)
@@ -98,8 +98,8 @@
         self.assertFalse([e for e in effects if isinstance(e, stewardship.ReadLedger)])
 
     def test_older_copy_of_the_ledger_is_written_over(self):
-        # The platform restores the store from an older copy, in which hosts are free that
-        # serve now. The owner writes its own value back instead of following the copy.
+        # The platform restores the store from an older copy, in which hosts that now serve are
+        # free. The owner must write its newer ledger back instead of adopting the copy.
         steward = make_steward()
         own(steward, 100.0, [record()])
         older = steward.ledger._replace(groups={}, version=0)
@@ -124,7 +124,7 @@
         steward = make_steward()
         steward.life_by_live = {"e1": "1", "e0": "7"}
         found = OWNED._replace(owner="e0", owner_life="7")
-        steward._next_take = 0.0
+        steward._next_take_over = 0.0
         steward.life_by_live = {"e1": "1"}
         steward.tick(100.0)
         steward.life_by_live = {"e1": "1", "e0": "7"}
@@ -153,8 +153,8 @@
             self.assertEqual(steward.unsaved, fencing)
 
     def test_host_with_a_load_on_its_way_is_not_free(self):
-        # A load order is under way to a host whose group is then taken apart. The host still
-        # reports that it is empty; given to another group, it would get two loads that cross.
+        # A load order is in flight to a host whose group is then dissolved. The host still
+        # reports itself empty; in another group it would receive two conflicting load orders.
         steward = make_steward()
         own(steward, 100.0, [record()])
         reports = [serving("a", 0), report("b"), report("c")]
@@ -163,7 +163,7 @@
         effects, now = run(steward, now, 0.5, reports)
         self.assertEqual([o.host for o in orders(effects)], ["b"])
         steward.ledger = steward.ledger._replace(groups={})
-        feed(steward, reports, now)
+        apply_reports(steward, reports, now)
         free = [f.report.host for f in placement.free_hosts(steward.situation(now))]
         self.assertEqual(free, ["c"])
 
@@ -182,10 +182,10 @@
 
     def due(self, *reports):
         seen = {r.host: SeenReport(r, 99.9) for r in reports}
-        return [d.order for d in due(self.ledger, self.entries, seen, {}, 100.0)]
+        return [d.order for d in due_orders(self.ledger, self.entries, seen, {}, 100.0)]
 
     def test_host_in_an_unknown_boot_gets_no_load(self):
-        # One epoch must not cover two boots of a host: evidence of the old one would count.
+        # One epoch must not cover two boots of a host: evidence of the old boot would stay valid.
         self.assertEqual(self.due(serving("a", 0), report("b", boot="2")), [])
 
     def test_host_that_no_group_holds_is_emptied(self):
