--- a/src/oleanderhill/requests/__init__.py
+++ b/src/oleanderhill/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one request, from the caller's connection to its final answer."""
+"""Handling of one request, from the caller's connection to its final answer."""
--- a/src/oleanderhill/requests/attempts.py
+++ b/src/oleanderhill/requests/attempts.py
@@ -1,9 +1,9 @@
-"""The life of one request: a pure state machine from arrival to its single final answer.
+"""State machine of one request, from its arrival to its single final answer, without I/O.
 
-The driver feeds it events and carries out the effects. Events name the attempt they belong to, so
-a late answer of an abandoned attempt can't reach the caller. What the caller may be told of an
-interrupted request follows from two facts: whether bytes of this attempt have left (``sent``), and
-whether an earlier attempt was lost after its bytes had left (``maybe_ran``).
+The driver passes in events and carries out the returned effects. Each event names its attempt, so
+that a late answer of an abandoned attempt can't reach the caller. The execution status reported for
+an interrupted request depends on two facts: whether bytes of the current attempt were sent
+(``sent``), and whether an earlier attempt was lost after its bytes were sent (``maybe_ran``).
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ..routing.router import Choice, NoChoice
 
 MAX_ATTEMPTS = 4
-COME_BACK_SECONDS = 2.0
+RETRY_AFTER_SECONDS = 2.0
 
 
 class Phase(StrEnum):
-    """Where a request stands."""
+    """State of a request."""
 
     CHOOSING = "choosing"
     CONNECTING = "connecting"
@@ -30,11 +30,11 @@
 
 
 class Request(NamedTuple):
-    """What the machine needs to know of a request.
+    """The facts about a request that the state machine needs.
 
-    :param idempotent: it may be run again when its outcome is unknown
-    :param deadline: local monotonic time
-    :param max_attempts: targets that it may reach
+    :param idempotent: the request may be repeated when its outcome is unknown
+    :param deadline: in local monotonic time
+    :param max_attempts: maximum number of attempts that send bytes to a target
     """
 
     request_id: str
@@ -46,46 +46,46 @@
 
 # Events. ``attempt`` counts from 1.
 class Chosen(NamedTuple):
-    """The router's answer to :class:`Select`."""
+    """The router's response to :class:`Select`."""
 
     result: Choice | NoChoice
 
 
 class ConnectFailed(NamedTuple):
-    """No connection came about: nothing was sent."""
+    """The connection could not be opened; nothing was sent."""
 
     attempt: int
     reason: str
 
 
 class Sending(NamedTuple):
-    """The first byte is about to leave."""
+    """The first byte is about to be sent."""
 
     attempt: int
 
 
 class NotStarted(NamedTuple):
-    """The target said, in so many words, that it did not start the request."""
+    """The target reported explicitly that it did not start the request."""
 
     attempt: int
     reason: str
 
 
 class Piece(NamedTuple):
-    """Complete stream events arrived, ``events`` of them."""
+    """``events`` complete stream events arrived."""
 
     attempt: int
     events: int
 
 
 class Finished(NamedTuple):
-    """The whole answer arrived."""
+    """The complete answer arrived."""
 
     attempt: int
 
 
 class Lost(NamedTuple):
-    """The connection ended, stalled or answered wrongly after bytes were sent."""
+    """The connection closed, stalled or gave an invalid answer after bytes were sent."""
 
     attempt: int
     reason: str
@@ -100,20 +100,20 @@
 
 
 class Quarantined(NamedTuple):
-    """The request ends the targets that run it, and is sent to nobody any more."""
+    """The request is quarantined, because targets crash when they run it."""
 
     problem: Problem
 
 
 # Effects.
 class Select(NamedTuple):
-    """Ask the router for a group outside ``exclude``."""
+    """Select a group outside ``exclude``."""
 
     exclude: frozenset[str]
 
 
 class Dispatch(NamedTuple):
-    """Send the request to a group, from stream offset ``resume_from`` on."""
+    """Send the request to a group, resuming its stream at offset ``resume_from``."""
 
     attempt: int
     choice: Choice
@@ -121,18 +121,18 @@
 
 
 class Cancel(NamedTuple):
-    """Stop an attempt and tell its engine to drop the request."""
+    """Abandon an attempt and cancel the request at its engine."""
 
     attempt: int
     choice: Choice
 
 
 class Deliver(NamedTuple):
-    """Give the caller the whole answer, or the end of its stream."""
+    """Send the caller the complete answer, or end its stream."""
 
 
 class Fail(NamedTuple):
-    """Give the caller its final problem; in a stream that began, as a final error event."""
+    """Send the caller the final problem; in a stream that has begun, as the last event."""
 
     problem: Problem
 
@@ -153,23 +153,24 @@
 
 
 class Budget(Protocol):
-    """Bounds the attempts after the first."""
+    """Limits retries, that is, attempts after the first."""
 
     def left(self, now: float) -> float:
-        """Return how many retries are left."""
+        """Return the number of retries available."""
 
     def take(self, now: float) -> bool:
-        """Take one retry; return whether there was one."""
+        """Consume one retry; return whether one was available."""
 
 
 class RetryBudget:
-    """Attempts beyond the first, bounded to a part of the requests.
+    """Token bucket that limits retries to a fraction of the requests.
 
-    Without the bound, a domain that goes dark makes every request a retry, and the groups left
-    take several times their load. Retries in proportion to requests keep the sum bounded.
+    Without the limit, when a domain becomes unreachable each of its requests is retried, and the
+    remaining groups receive several times their normal load. Retries in proportion to requests keep
+    the total load bounded.
 
-    :param ratio: retries allowed for each request
-    :param floor: retries a second allowed in any case
+    :param ratio: retries allowed per request
+    :param floor: retries per second allowed at any request rate
     """
 
     CAP = 50.0
@@ -178,20 +179,20 @@
         self._ratio = ratio
         self._floor = floor
         self._tokens = self.CAP / 2
-        self._at = 0.0
+        self._refilled_at = 0.0
 
     def request(self) -> None:
-        """Count a new request."""
+        """Add the retry allowance of a new request."""
         self._tokens = min(self.CAP, self._tokens + self._ratio)
 
     def left(self, now: float) -> float:
-        """Return how many retries are left."""
-        self._tokens = min(self.CAP, self._tokens + self._floor * max(0.0, now - self._at))
-        self._at = now
+        """Return the number of retries available."""
+        self._tokens = min(self.CAP, self._tokens + self._floor * max(0.0, now - self._refilled_at))
+        self._refilled_at = now
         return self._tokens
 
     def take(self, now: float) -> bool:
-        """Take one retry; return whether there was one."""
+        """Consume one retry; return whether one was available."""
         if self.left(now) < 1.0:
             return False
         self._tokens -= 1.0
@@ -199,9 +200,9 @@
 
 
 class RequestMachine:
-    """One request.
+    """State machine of one request.
 
-    :param budget: bounds the attempts after the first
+    :param budget: limits the attempts after the first
     """
 
     def __init__(self, request: Request, budget: Budget) -> None:
@@ -221,14 +222,14 @@
         return [Select(frozenset())]
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take an event; return the effects. After the final answer there are none."""
+        """Process an event and return its effects, none after the final answer."""
         if self.phase == Phase.DONE:
             return []
         if self._is_late(event):
             return []
         match event:
             case Chosen(result):
-                return self._chosen(result)
+                return self._on_chosen(result)
             case Sending():
                 self.sent = True
                 self.arrived += 1
@@ -245,26 +246,29 @@
             case Lost(_, reason):
                 return self._lost(reason, now)
             case DeadlineHit():
-                return self._give_up(outcomes.deadline_passed(self.ran()))
+                return self._fail(outcomes.deadline_passed(self.ran()))
             case CallerGone():
                 return self._finish(self._cancel())
             case Quarantined(problem):
-                return self._give_up(problem)
+                return self._fail(problem)
         return []
 
     def ran(self) -> Ran:
-        """Return what is known of the run if it ended now without an answer."""
+        """Return the execution status to report if the request ended now without an answer."""
         return Ran.UNKNOWN if self.sent or self.maybe_ran else Ran.NO
 
     def may_move(self, now: float) -> bool:
-        """Tell whether the request, now at a target that seems stuck, may go to another."""
-        if self.phase == Phase.DONE or self._used_up(now):
+        """Return whether the request may leave a target that seems stuck for another one."""
+        if self.phase == Phase.DONE or self._attempts_exhausted(now):
             return False
-        again = self.request.idempotent or not self.sent
-        return again and (self.arrived == 0 or self._budget.left(now) >= 1.0)
+        repeatable = self.request.idempotent or not self.sent
+        return repeatable and (self.arrived == 0 or self._budget.left(now) >= 1.0)
 
-    def _used_up(self, now: float) -> bool:
-        """Tell whether no further attempt is allowed. One that sent nothing reached no target."""
+    def _attempts_exhausted(self, now: float) -> bool:
+        """Return whether no further attempt is allowed.
+
+        An attempt that sent nothing reached no target and doesn't count towards ``max_attempts``.
+        """
         if self.attempt >= MAX_ATTEMPTS or now >= self.request.deadline:
             return True
         return self.arrived >= self.request.max_attempts
@@ -273,10 +277,10 @@
         attempt = getattr(event, "attempt", None)
         return attempt is not None and attempt != self.attempt
 
-    def _chosen(self, result: Choice | NoChoice) -> list[Effect]:
+    def _on_chosen(self, result: Choice | NoChoice) -> list[Effect]:
         if isinstance(result, NoChoice):
-            problem = outcomes.no_capacity(result.reason, COME_BACK_SECONDS)
-            return self._give_up(problem._replace(ran=self.ran()))
+            problem = outcomes.no_capacity(result.reason, RETRY_AFTER_SECONDS)
+            return self._fail(problem._replace(ran=self.ran()))
         self.attempt += 1
         self.sent = False
         self.choice = result
@@ -284,26 +288,26 @@
         return [Dispatch(self.attempt, result, self.offset)]
 
     def _not_run(self, reason: str, now: float) -> list[Effect]:
-        """Go elsewhere: the target has not run it, so even a non-idempotent request may."""
+        """Retry elsewhere: the target did not run the request, so it need not be idempotent."""
         self.sent = False
-        problem = outcomes.no_capacity(reason, COME_BACK_SECONDS)
-        return self._again(problem._replace(ran=self.ran()), now)
+        problem = outcomes.no_capacity(reason, RETRY_AFTER_SECONDS)
+        return self._retry(problem._replace(ran=self.ran()), now)
 
     def _lost(self, reason: str, now: float) -> list[Effect]:
         if not self.sent:
             return self._not_run(reason, now)
-        # Bytes left and no answer came. A second send could run it twice: pay a hauler twice.
-        # The caller learns at once that the outcome is unknown, and decides.
+        # Bytes were sent and no answer came, so a retry could run the request twice, such as pay a
+        # bill twice. The caller is told immediately that the outcome is unknown, and can decide.
         if not self.request.idempotent:
-            return self._give_up(outcomes.interrupted(Ran.UNKNOWN, reason))
+            return self._fail(outcomes.interrupted(Ran.UNKNOWN, reason))
         self.maybe_ran = True
         problem = outcomes.interrupted(Ran.UNKNOWN, reason)
-        return [*self._cancel(), *self._again(problem, now)]
+        return [*self._cancel(), *self._retry(problem, now)]
 
-    def _again(self, problem: Problem, now: float) -> list[Effect]:
+    def _retry(self, problem: Problem, now: float) -> list[Effect]:
         if self.choice is not None:
             self.tried = self.tried | {self.choice.target}
-        if self._used_up(now) or (self.arrived > 0 and not self._budget.take(now)):
+        if self._attempts_exhausted(now) or (self.arrived > 0 and not self._budget.take(now)):
             return self._finish([Fail(problem)])
         self.phase = Phase.CHOOSING
         self.choice = None
@@ -314,7 +318,7 @@
             return []
         return [Cancel(self.attempt, self.choice)]
 
-    def _give_up(self, problem: Problem) -> list[Effect]:
+    def _fail(self, problem: Problem) -> list[Effect]:
         return self._finish([*self._cancel(), Fail(problem)])
 
     def _finish(self, effects: list[Effect]) -> list[Effect]:
--- a/src/oleanderhill/requests/edge.py
+++ b/src/oleanderhill/requests/edge.py
@@ -1,4 +1,4 @@
-"""The server towards callers: admission, readiness, and what the handlers share."""
+"""HTTP server for callers: admission, readiness, and the state shared by its handlers."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from ..settings.messages import FleetChanged
 from ..settings.relay import DocumentsTask
 from .attempts import RetryBudget
-from .exchange import StallClocks
-from .handlers import MAX_BODY, MissingHandler, routes
+from .exchange import StallTimeouts
+from .handlers import MAX_BODY_BYTES, NotFoundHandler, routes
 
 
 class Edge(Task):
-    """Owns the server towards callers and the requests in flight."""
+    """Runs the HTTP server for callers and counts its requests in flight."""
 
     name = "edge"
 
@@ -54,21 +54,21 @@
         self.decisions = decisions
         self.fleet = Fleet()
         self.budget = RetryBudget()
-        self.clocks = StallClocks()
+        self.stall_timeouts = StallTimeouts()
         self.in_flight = 0
         self.withdrawn = False
         self.draining = False
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen for callers."""
         await super().start()
         application = Application(
             routes(self),
-            default_handler_class=MissingHandler,
+            default_handler_class=NotFoundHandler,
             default_handler_args={"edge": self},
             log_function=lambda handler: None,
         )
-        self._listener.listen(application, max_body_size=MAX_BODY)
+        self._listener.listen(application, max_body_size=MAX_BODY_BYTES)
 
     async def stop(self) -> None:
         """Close the server."""
@@ -77,7 +77,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers to this host."""
         return not self.withdrawn and self.kernel.find("documents", DocumentsTask).loaded
 
     @singledispatchmethod
@@ -90,14 +90,14 @@
         self.services.service_by_name = message.fleet.service_by_name
 
     def admit(self, account: AccountView) -> None:
-        """Admit a request of an account.
+        """Admit a request of a client account.
 
-        :raises ProblemError: if the account is over its rate, or this host is draining
+        :raises ProblemError: if the account exceeds its rate limit, or this host is draining
         """
         if self.draining:
             raise ProblemError(outcomes.draining())
         wait = self.kernel.find("limits", LimitsTask).admit(account.account)
         if wait is not None:
-            self.decisions.note("limit", account.account, f"refused, come back in {wait:.1f} s")
+            self.decisions.note("limit", account.account, f"rejected, retry after {wait:.1f} s")
             raise ProblemError(outcomes.over_limit(wait))
         self.budget.request()
--- a/src/oleanderhill/requests/exchange.py
+++ b/src/oleanderhill/requests/exchange.py
@@ -1,8 +1,8 @@
-"""The driver of one request: carries out the effects of :class:`~.attempts.RequestMachine`.
+"""Driver of one request: carries out the effects of :class:`~.attempts.RequestMachine`.
 
-The driver owns the request's sockets and timers. All events go through one queue, except
-:class:`~.attempts.Sending`, which the machine must take in before the first byte leaves: a
-deadline handled in between would otherwise tell the caller "not run" of a request on its way.
+The driver owns the request's sockets and timers. All events pass through one queue, except
+:class:`~.attempts.Sending`, which the state machine must process before the first byte is sent.
+Otherwise, a deadline handled in between would report "not run" for a request that was being sent.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from . import attempts
 from .attempts import Effect, Event, Request, RequestMachine, RetryBudget
 from .identity import identity
-from .stall import FIRST_TOKEN, GAP, StallClock
+from .stall import EVENT_GAP_BOUNDS, FIRST_TOKEN_BOUNDS, StallTimeout
 from .suspects import SuspectsTask
 
 GROUP_HEADER = "X-Oleanderhill-Group"
@@ -35,304 +35,319 @@
 
 EVENT_END = b"\n\n"
 DONE_EVENT = b"data: [DONE]"
-MAX_EVENT = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class Sink(Protocol):
-    """Where the answer goes."""
+    """Receives the answer of a request."""
 
     async def reply(self, reply: Reply) -> None:
-        """Give the caller a whole answer."""
+        """Send a complete answer to the caller."""
 
-    def piece(self, chunk: bytes) -> Awaitable[None] | None:
-        """Give the caller whole stream events.
+    def write_events(self, chunk: bytes) -> Awaitable[None] | None:
+        """Send complete stream events to the caller.
 
-        :returns: ``None`` when the socket took them at once, else what to wait for
+        :returns: ``None`` if the socket accepted them immediately, otherwise an awaitable that
+            completes once it has
         """
 
     async def end(self) -> None:
         """End the stream."""
 
     async def fail(self, problem: Problem) -> None:
-        """Give the caller the final problem."""
+        """Send the final problem to the caller."""
 
 
-class Finder(Protocol):
-    """Finds targets for requests: groups of a model, or the targets of a plain service."""
+class TargetFinder(Protocol):
+    """Selects targets for requests: groups of a model, or targets of a plain service."""
 
     async def acquire(
-        self, waiter: Waiter, wanted: Wanted, exclude: frozenset[str]
+        self, waiter: Waiter, requirements: Wanted, exclude: frozenset[str]
     ) -> Choice | NoChoice:
-        """Find a target, waiting for room; the caller releases it."""
+        """Select a target, waiting for free capacity. It must be released afterwards."""
 
     def release(self, account: str, choice: Choice, model: str, seconds: float) -> None:
-        """Count the end of a request at its target, which it held for so many seconds."""
+        """Release a target that a request occupied for ``seconds``."""
 
     def may_send(self, choice: Choice, now: float) -> bool:
-        """Tell whether a request may go to the target at this very moment."""
+        """Return whether a request may be sent to the target at this moment."""
 
     def eject(self, choice: Choice, now: float) -> None:
-        """Keep a target that stalls or can't be reached from new requests for a while."""
+        """Exclude a target that stalls or is unreachable from selection for a while."""
 
-    def watch(self, run: str, choice: Choice, broken: Callable[[], None]) -> None:
-        """Call ``broken`` when the target of a run in flight can no longer answer."""
+    def watch(self, attempt_id: str, choice: Choice, on_lost: Callable[[], None]) -> None:
+        """Call ``on_lost`` when the target of an attempt can no longer answer."""
 
-    def unwatch(self, run: str) -> None:
-        """Stop watching for a run."""
+    def unwatch(self, attempt_id: str) -> None:
+        """Stop watching the target of an attempt."""
 
 
-class Work(NamedTuple):
-    """A request as the driver needs it.
+class TargetRequest(NamedTuple):
+    """A request to send to a target, with what is needed to select the target.
 
-    :param headers: passed on to the target
-    :param errors_are_answers: a 5xx reply is the target's answer, not a lost run
+    :param headers: headers that are sent to the target
+    :param forward_server_errors: a 5xx reply is forwarded as the answer, not treated as a loss
     """
 
     request: Request
     account: str
-    wanted: Wanted
+    requirements: Wanted
     priority: int
     method: str
     path: str
     headers: dict[str, str]
     body: bytes
-    errors_are_answers: bool = False
+    forward_server_errors: bool = False
 
 
-class StallClocks:
-    """The stall clocks of all models."""
+class StallTimeouts:
+    """The stall timeouts of all models."""
 
     def __init__(self) -> None:
-        self._first: dict[str, StallClock] = {}
-        self._gap: dict[str, StallClock] = {}
+        self._first_token_by_model: dict[str, StallTimeout] = {}
+        self._event_gap_by_model: dict[str, StallTimeout] = {}
 
-    def first(self, model: str) -> StallClock:
-        """Return the clock of waits for a first token."""
-        return self._first.setdefault(model, StallClock(FIRST_TOKEN))
+    def first_token(self, model: str) -> StallTimeout:
+        """Return the timeout for the first token."""
+        return self._first_token_by_model.setdefault(model, StallTimeout(FIRST_TOKEN_BOUNDS))
 
-    def gap(self, model: str) -> StallClock:
-        """Return the clock of waits between stream events."""
-        return self._gap.setdefault(model, StallClock(GAP))
+    def event_gap(self, model: str) -> StallTimeout:
+        """Return the timeout between stream events."""
+        return self._event_gap_by_model.setdefault(model, StallTimeout(EVENT_GAP_BOUNDS))
 
 
 class Exchange:
-    """One request to a model's groups or a plain service."""
+    """Runs one request to a model's groups or to a plain service."""
 
     def __init__(
         self,
-        work: Work,
+        outgoing: TargetRequest,
         sink: Sink,
-        finder: Finder,
+        finder: TargetFinder,
         caller: HttpCaller,
         targets: TargetClient,
         budget: RetryBudget,
-        clocks: StallClocks,
+        stall_timeouts: StallTimeouts,
         decisions: Decisions,
         suspects: SuspectsTask,
     ) -> None:
-        self._work = work
+        self._outgoing = outgoing
         self._suspects = suspects
-        self._identity = identity(work.method, "", work.path, work.account, work.body)
+        self._identity = identity(
+            outgoing.method, "", outgoing.path, outgoing.account, outgoing.body
+        )
         self._sent_at = 0.0
         self._sink = sink
         self._finder = finder
         self._caller = caller
         self._targets = targets
-        self._clocks = clocks
+        self._stall_timeouts = stall_timeouts
         self._decisions = decisions
-        self._machine = RequestMachine(work.request, budget)
+        self._machine = RequestMachine(outgoing.request, budget)
         self._events: asyncio.Queue[Event] = asyncio.Queue()
-        self._attempt: asyncio.Task[None] | None = None
-        self._choosing: asyncio.Task[None] | None = None
-        self._held: Choice | None = None
-        self._held_at = 0.0
+        self._attempt_task: asyncio.Task[None] | None = None
+        self._select_task: asyncio.Task[None] | None = None
+        self._selected: Choice | None = None
+        self._selected_at = 0.0
         self._reply: Reply | None = None
-        self._progress_at = 0.0
-        self._final: list[Effect] = []
-        self._cancelling: list[asyncio.Task[None]] = []
+        self._last_progress_at = 0.0
+        self._final_effects: list[Effect] = []
+        self._cancel_tasks: list[asyncio.Task[None]] = []
 
     @property
     def machine(self) -> RequestMachine:
-        """Return the machine, for the journal to learn how the request ended."""
+        """Return the state machine, from which the journal learns how the request ended."""
         return self._machine
 
     @property
-    def errors_are_answers(self) -> bool:
-        """Tell whether a 5xx reply is the target's answer."""
-        return self._work.errors_are_answers
+    def forward_server_errors(self) -> bool:
+        """Return whether a 5xx reply is forwarded as the answer, not treated as a loss."""
+        return self._outgoing.forward_server_errors
 
-    def caller_gone(self) -> None:
-        """Take note that the caller closed its connection."""
+    def on_caller_disconnected(self) -> None:
+        """Handle that the caller closed its connection."""
         self._events.put_nowait(attempts.CallerGone())
 
     async def run(self) -> None:
-        """Run the request to its end."""
+        """Run the request until its final answer is sent."""
         loop = asyncio.get_running_loop()
-        delay = max(0.0, self._work.request.deadline - time.monotonic())
+        delay = max(0.0, self._outgoing.request.deadline - time.monotonic())
         timer = loop.call_later(delay, self._events.put_nowait, attempts.DeadlineHit())
         try:
-            await self._perform(self._machine.start())
+            await self._apply(self._machine.start())
             while self._machine.phase != attempts.Phase.DONE:
                 event = await self._next_event()
-                await self._perform(self._machine.handle(event, time.monotonic()))
-            await self._perform(self._final)
+                await self._apply(self._machine.handle(event, time.monotonic()))
+            await self._apply(self._final_effects)
         finally:
             timer.cancel()
-            self._drop_attempt()
-            if self._choosing is not None:
-                self._choosing.cancel()
+            self._abandon_attempt()
+            if self._select_task is not None:
+                self._select_task.cancel()
 
     async def _next_event(self) -> Event:
-        """Wait for an event, or find that the attempt stalls."""
+        """Return the next event, or a loss as soon as the attempt stalls."""
         while True:
             try:
                 async with asyncio.timeout(0.25):
                     return await self._events.get()
             except TimeoutError:
-                stalled = self._stalled(time.monotonic())
+                stalled = self._check_stall(time.monotonic())
                 if stalled is not None:
                     return stalled
 
-    def _stalled(self, now: float) -> Event | None:
+    def _check_stall(self, now: float) -> Event | None:
         machine = self._machine
-        if machine.choice is None or self._attempt is None or not self._work.request.idempotent:
+        if (
+            machine.choice is None
+            or self._attempt_task is None
+            or not self._outgoing.request.idempotent
+        ):
             return None
-        model = self._work.wanted.model
-        if machine.phase == attempts.Phase.SENT and self._work.request.stream:
-            limit = self._clocks.first(model).limit()
+        model = self._outgoing.requirements.model
+        if machine.phase == attempts.Phase.SENT and self._outgoing.request.stream:
+            limit = self._stall_timeouts.first_token(model).limit()
         elif machine.phase == attempts.Phase.STREAMING:
-            limit = self._clocks.gap(model).limit()
+            limit = self._stall_timeouts.event_gap(model).limit()
         else:
             return None
-        waited = now - self._progress_at
+        waited = now - self._last_progress_at
         if waited <= limit:
             return None
         self._finder.eject(machine.choice, now)
         return attempts.Lost(machine.attempt, f"stalled for {waited:.1f} s, limit {limit:.1f} s")
 
-    async def _perform(self, effects: list[Effect]) -> None:
+    async def _apply(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case attempts.Select(exclude):
-                    self._drop_attempt()
-                    self._choosing = asyncio.create_task(self._choose(exclude))
+                    self._abandon_attempt()
+                    self._select_task = asyncio.create_task(self._select_target(exclude))
                 case attempts.Dispatch(number, choice, resume_from):
-                    self._note(choice, number, resume_from)
-                    self._progress_at = time.monotonic()
-                    self._attempt = asyncio.create_task(self._send(number, choice, resume_from))
+                    self._log_attempt(choice, number, resume_from)
+                    self._last_progress_at = time.monotonic()
+                    self._attempt_task = asyncio.create_task(
+                        self._send(number, choice, resume_from)
+                    )
                 case attempts.Cancel(number, choice):
-                    self._drop_attempt()
-                    run = self._run_id(number)
-                    task = asyncio.create_task(self._targets.cancel(choice.head.address, run))
-                    self._cancelling.append(task)
+                    self._abandon_attempt()
+                    attempt_id = self._attempt_id(number)
+                    task = asyncio.create_task(
+                        self._targets.cancel(choice.head.address, attempt_id)
+                    )
+                    self._cancel_tasks.append(task)
                 case attempts.Deliver():
                     await self._deliver()
                 case attempts.Fail(problem):
-                    self._drop_attempt()
+                    self._abandon_attempt()
                     text = f"{problem.kind}, ran {problem.ran.value}: {problem.detail}"
-                    self._decisions.note("route", self._work.request.request_id, text)
+                    self._decisions.note("route", self._outgoing.request.request_id, text)
                     await self._sink.fail(problem)
 
-    def _note(self, choice: Choice, number: int, resume_from: int) -> None:
+    def _log_attempt(self, choice: Choice, number: int, resume_from: int) -> None:
         text = f"attempt {number} to {choice.group} epoch {choice.epoch} at {choice.head.host}"
         if resume_from:
             text += f" from offset {resume_from}"
-        request_id = self._work.request.request_id
+        request_id = self._outgoing.request.request_id
         self._decisions.note("route", request_id, f"{text}: {choice.reason}", (choice.group,))
 
-    def _refusal(self) -> attempts.Quarantined | None:
-        """Return the event of a request that is not sent, as targets end under it."""
-        problem = self._suspects.problem(self._identity, self._machine.ran())
+    def _quarantine_event(self) -> attempts.Quarantined | None:
+        """Return the event that fails the request if it is quarantined."""
+        problem = self._suspects.rejection_for(self._identity, self._machine.ran())
         return None if problem is None else attempts.Quarantined(problem)
 
-    async def _choose(self, exclude: frozenset[str]) -> None:
-        refusal = self._refusal()
-        if refusal is not None:
-            self._events.put_nowait(refusal)
+    async def _select_target(self, exclude: frozenset[str]) -> None:
+        quarantined = self._quarantine_event()
+        if quarantined is not None:
+            self._events.put_nowait(quarantined)
             return
-        request = self._work.request
+        request = self._outgoing.request
         waiter = Waiter(
             request.request_id,
-            self._work.account,
-            self._work.priority,
+            self._outgoing.account,
+            self._outgoing.priority,
             time.monotonic(),
             request.deadline,
         )
-        result = await self._finder.acquire(waiter, self._work.wanted, exclude)
+        result = await self._finder.acquire(waiter, self._outgoing.requirements, exclude)
         if isinstance(result, Choice):
-            self._held, self._held_at = result, time.monotonic()
+            self._selected, self._selected_at = result, time.monotonic()
         self._events.put_nowait(attempts.Chosen(result))
 
-    def _run_id(self, number: int) -> str:
-        return f"{self._work.request.request_id}.{number}"
+    def _attempt_id(self, number: int) -> str:
+        return f"{self._outgoing.request.request_id}.{number}"
 
     async def _send(self, number: int, choice: Choice, resume_from: int) -> None:
-        run = self._run_id(number)
+        attempt_id = self._attempt_id(number)
         observer = _AttemptObserver(self, number, choice)
         headers = {
-            **self._work.headers,
+            **self._outgoing.headers,
             GROUP_HEADER: f"{choice.group}@{choice.epoch}",
-            RUN_HEADER: run,
-            PRIORITY_HEADER: str(self._work.priority),
+            RUN_HEADER: attempt_id,
+            PRIORITY_HEADER: str(self._outgoing.priority),
         }
         if resume_from:
             headers[RESUME_HEADER] = str(resume_from)
         call = Call(
             choice.head.address,
-            self._work.method,
-            self._work.path,
+            self._outgoing.method,
+            self._outgoing.path,
             headers,
-            self._work.body,
+            self._outgoing.body,
             timeout=None,
         )
-        self._finder.watch(run, choice, lambda: self._broken(number))
+        self._finder.watch(attempt_id, choice, lambda: self._on_target_lost(number))
         try:
             result = await self._caller.call(call, observer)
         finally:
-            self._finder.unwatch(run)
+            self._finder.unwatch(attempt_id)
         if is_successful(result):
-            self._events.put_nowait(observer.judge(result.unwrap(), run))
+            self._events.put_nowait(observer.event_for_reply(result.unwrap(), attempt_id))
             return
         failure = result.failure()
         if not self._suspects.may_send(self._identity) and not failure.sent:
-            self._events.put_nowait(self._refusal() or attempts.ConnectFailed(number, "withheld"))
+            self._events.put_nowait(
+                self._quarantine_event() or attempts.ConnectFailed(number, "withheld")
+            )
         elif failure.kind == FailureKind.NOT_CONNECTED:
             self._finder.eject(choice, time.monotonic())
             self._events.put_nowait(attempts.ConnectFailed(number, failure.reason))
         else:
             ran_for = time.monotonic() - self._sent_at
-            request_id = self._work.request.request_id
-            self._suspects.lost(self._identity, request_id, choice.head, ran_for)
+            request_id = self._outgoing.request.request_id
+            self._suspects.record_lost_attempt(self._identity, request_id, choice.head, ran_for)
             self._events.put_nowait(attempts.Lost(number, failure.reason))
 
-    def _broken(self, number: int) -> None:
+    def _on_target_lost(self, number: int) -> None:
         self._events.put_nowait(attempts.Lost(number, "the group is no longer whole"))
 
-    def _drop_attempt(self) -> None:
-        if self._attempt is not None:
-            self._attempt.cancel()
-            self._attempt = None
-        if self._held is not None:
-            seconds = time.monotonic() - self._held_at
-            self._finder.release(self._work.account, self._held, self._work.wanted.model, seconds)
-            self._held = None
+    def _abandon_attempt(self) -> None:
+        if self._attempt_task is not None:
+            self._attempt_task.cancel()
+            self._attempt_task = None
+        if self._selected is not None:
+            seconds = time.monotonic() - self._selected_at
+            self._finder.release(
+                self._outgoing.account, self._selected, self._outgoing.requirements.model, seconds
+            )
+            self._selected = None
 
     async def _deliver(self) -> None:
         if self._reply is not None:
             await self._sink.reply(self._reply)
         else:
             await self._sink.end()
-        self._drop_attempt()
+        self._abandon_attempt()
 
-    # Called by the observer
+    # Called by _AttemptObserver.
 
-    def may_send(self, number: int, choice: Choice) -> bool:
-        """Tell whether the bytes of an attempt may leave now, and take note that they do."""
+    def begin_sending(self, number: int, choice: Choice) -> bool:
+        """Return whether the bytes of an attempt may be sent now, and record that they are."""
         machine = self._machine
         if machine.phase != attempts.Phase.CONNECTING or machine.attempt != number:
             return False
         now = time.monotonic()
-        if now >= self._work.request.deadline:
+        if now >= self._outgoing.request.deadline:
             return False
         if not self._finder.may_send(choice, now) or not self._suspects.may_send(self._identity):
             return False
@@ -340,42 +355,46 @@
         machine.handle(attempts.Sending(number), now)
         return True
 
-    def progress(self, first: bool) -> None:
-        """Take note that something arrived."""
+    def record_progress(self, is_first: bool) -> None:
+        """Record that stream events arrived."""
         now = time.monotonic()
-        model = self._work.wanted.model
-        clock = self._clocks.first(model) if first else self._clocks.gap(model)
-        clock.record(now - self._progress_at)
-        self._progress_at = now
+        model = self._outgoing.requirements.model
+        timeout = (
+            self._stall_timeouts.first_token(model)
+            if is_first
+            else self._stall_timeouts.event_gap(model)
+        )
+        timeout.record(now - self._last_progress_at)
+        self._last_progress_at = now
 
-    def stream_complete(self, number: int) -> None:
-        """Settle the request at its last stream event.
+    def complete_stream(self, number: int) -> None:
+        """Finish the request at its last stream event.
 
-        Settled at once, not through the queue: a deadline or a closed connection handled before
-        it would add an error to a stream that the caller has whole.
+        The event is processed immediately, not through the queue. A deadline or a closed connection
+        handled before it would add an error to a stream that the caller has received completely.
         """
-        self._suspects.answered(self._identity)
+        self._suspects.record_answer(self._identity)
         event = attempts.Finished(number)
-        self._final = self._machine.handle(event, time.monotonic())
+        self._final_effects = self._machine.handle(event, time.monotonic())
         self._events.put_nowait(event)
 
     def forward(self, number: int, count: int, chunk: bytes) -> Awaitable[None] | None:
-        """Pass whole events on, unless the attempt was overtaken."""
+        """Forward complete stream events to the caller."""
         self._machine.handle(attempts.Piece(number, count), time.monotonic())
-        return self._sink.piece(chunk)
+        return self._sink.write_events(chunk)
 
-    def keep(self, reply: Reply) -> None:
-        """Keep the whole answer of a request without a stream."""
-        self._suspects.answered(self._identity)
+    def store_reply(self, reply: Reply) -> None:
+        """Store the complete answer of a request that is not streamed."""
+        self._suspects.record_answer(self._identity)
         self._reply = reply
 
     def is_current(self, number: int) -> bool:
-        """Tell whether an attempt is the one that may answer."""
+        """Return whether an attempt is the current one, whose answer may be forwarded."""
         return self._machine.attempt == number and self._machine.phase != attempts.Phase.DONE
 
 
 class _AttemptObserver(Observer):
-    """Watches one attempt: forwards whole stream events, keeps the rest."""
+    """Observes one attempt: forwards complete stream events and buffers other bodies."""
 
     def __init__(self, exchange: Exchange, number: int, choice: Choice) -> None:
         self._exchange = exchange
@@ -383,12 +402,12 @@
         self._choice = choice
         self._status = 0
         self._stream = False
-        self._tail = b""
-        self._body: list[bytes] = []
-        self._any = False
+        self._incomplete_event = b""
+        self._body_chunks: list[bytes] = []
+        self._has_forwarded = False
 
     def sending(self) -> bool:
-        return self._exchange.may_send(self._number, self._choice)
+        return self._exchange.begin_sending(self._number, self._choice)
 
     def headers(self, status: int, headers: HTTPHeaders) -> None:
         self._status = status
@@ -397,36 +416,36 @@
 
     def data(self, chunk: bytes) -> Awaitable[None] | None:
         if not self._stream:
-            self._body.append(chunk)
+            self._body_chunks.append(chunk)
             return None
         if not self._exchange.is_current(self._number):
             return None
-        whole = self._tail + chunk if self._tail else chunk
-        end = whole.rfind(EVENT_END) + len(EVENT_END)
+        buffered = self._incomplete_event + chunk if self._incomplete_event else chunk
+        end = buffered.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self._tail = whole
+            self._incomplete_event = buffered
             return None
-        # Only whole events go on, so that the caller's offset is exact when the stream is cut
-        # and another replica resumes it. They are counted, not parsed.
-        ready, self._tail = whole[:end], whole[end:]
-        self._exchange.progress(not self._any)
-        self._any = True
+        # Only complete events are forwarded, so that the caller's offset is exact if the connection
+        # breaks and another replica resumes the stream. They are counted, not parsed.
+        ready, self._incomplete_event = buffered[:end], buffered[end:]
+        self._exchange.record_progress(not self._has_forwarded)
+        self._has_forwarded = True
         count = ready.count(EVENT_END)
         if DONE_EVENT not in ready:
             return self._exchange.forward(self._number, count, ready)
         sent = self._exchange.forward(self._number, count - 1, ready)
-        self._exchange.stream_complete(self._number)
+        self._exchange.complete_stream(self._number)
         return sent
 
-    def judge(self, reply: Reply, run: str) -> Event:
-        """Return the event that a finished exchange amounts to."""
-        if reply.headers.get(RUN_HEADER, run) != run:
+    def event_for_reply(self, reply: Reply, attempt_id: str) -> Event:
+        """Return the event for a completed HTTP exchange."""
+        if reply.headers.get(RUN_HEADER, attempt_id) != attempt_id:
             return attempts.Lost(self._number, "the answer belongs to another request")
         if reply.headers.get(NOT_STARTED_HEADER):
             return attempts.NotStarted(self._number, f"refused with status {reply.status}")
         if self._stream:
             return attempts.Lost(self._number, "the stream ended before its last event")
-        if reply.status >= 500 and not self._exchange.errors_are_answers:
+        if reply.status >= 500 and not self._exchange.forward_server_errors:
             return attempts.Lost(self._number, f"status {reply.status}")
-        self._exchange.keep(reply._replace(body=b"".join(self._body)))
+        self._exchange.store_reply(reply._replace(body=b"".join(self._body_chunks)))
         return attempts.Finished(self._number)
--- a/src/oleanderhill/requests/handlers.py
+++ b/src/oleanderhill/requests/handlers.py
@@ -1,4 +1,4 @@
-"""The handlers of the server towards callers: authentication, bounds, one final answer each."""
+"""Handlers of the HTTP server for callers: authentication, limits, one final answer each."""
 
 from __future__ import annotations
 
@@ -25,34 +25,34 @@
 from ..settings.fleet import AccountView, Fleet, find_by_key
 from ..settings.schema import PlainService
 from .attempts import Request, RetryBudget
-from .exchange import Exchange, Finder, StallClocks, Work
-from .sink import Answering, CallerSink
+from .exchange import Exchange, StallTimeouts, TargetFinder, TargetRequest
+from .sink import AnsweringHandler, CallerSink
 from .suspects import SuspectsTask
 
-MAX_BODY = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 DEFAULT_TIMEOUT = 60.0
 MAX_TIMEOUT = 600.0
-MAX_KEY = 255
+MAX_KEY_LENGTH = 255
 PREFIX_LENGTH = 256
-RECORD_PATIENCE = 1.0
-"""Seconds that a repeated key waits for the record of its first run: a peer's message and a batch
-of the journal take some 10 ms, and half a second where the first write has to be repeated."""
+RECORD_TIMEOUT = 1.0
+"""Seconds that a duplicate request waits for the outcome of the first one to be recorded. A peer
+message and a journal batch take about 10 ms, or 0.5 s if the first write must be repeated."""
 
-RECORD_POLL = 0.1
-"""Seconds between two looks at the journal while a repeated key waits."""
+RECORD_POLL_INTERVAL = 0.1
+"""Seconds between reads of the journal while a duplicate request waits."""
 
-RUNNING_FOR = MAX_TIMEOUT + 60.0
+MAX_RUN_SECONDS = MAX_TIMEOUT + 60.0
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
-PASSED_HEADERS = ("Content-Type", "Accept")
+FORWARDED_HEADERS = ("Content-Type", "Accept")
 TIMEOUT_HEADER = "X-Request-Timeout"
-MARK_HEADER = "X-Not-Repeatable"
+NOT_REPEATABLE_HEADER = "X-Not-Repeatable"
 KEY_HEADER = "Idempotency-Key"
 ID_HEADER = "X-Request-Id"
 
 
 class ModelName(NamedTuple):
-    """A caller's ``model[@version][:adapter]``, taken apart."""
+    """The parts of a caller's ``model[@version][:adapter]``."""
 
     model: str
     version: str
@@ -60,14 +60,14 @@
 
 
 def parse_model(text: str) -> ModelName:
-    """Take a caller's model name apart."""
+    """Split a caller's model name into its parts."""
     rest, _, adapter = text.partition(":")
     model, _, version = rest.partition("@")
     return ModelName(model, version, adapter)
 
 
 class Edge(Protocol):
-    """What the handlers need of the server that they belong to."""
+    """The attributes of the server that its handlers use."""
 
     kernel: Kernel
     router: RouterTask
@@ -78,21 +78,21 @@
     decisions: Decisions
     fleet: Fleet
     budget: RetryBudget
-    clocks: StallClocks
+    stall_timeouts: StallTimeouts
     in_flight: int
     withdrawn: bool
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers to this host."""
 
     def admit(self, account: AccountView) -> None:
-        """Admit a request of an account, or raise :class:`ProblemError`."""
+        """Admit a request of a client account, or raise :class:`ProblemError`."""
 
 
 @stream_request_body
-class Handler(Answering):
-    """What all handlers share: the body with its bound, errors as problem details."""
+class BaseHandler(AnsweringHandler):
+    """Base class of all handlers: limits the body, and reports errors as problem details."""
 
     def initialize(self, edge: Edge) -> None:
         self.edge = edge
@@ -105,23 +105,23 @@
     def prepare(self) -> None:
         self.set_header(ID_HEADER, self.request_id)
         length = self.request.headers.get("Content-Length", "0")
-        if not length.isdigit() or int(length) > MAX_BODY:
-            # The body is not read; the connection can't be used again.
+        if not length.isdigit() or int(length) > MAX_BODY_BYTES:
+            # The body is not read, so the connection can't be reused.
             self.set_header("Connection", "close")
-            self.answer_problem(outcomes.too_large(MAX_BODY))
+            self.answer_problem(outcomes.too_large(MAX_BODY_BYTES))
 
     def data_received(self, chunk: bytes) -> None:
         self._size += len(chunk)
-        if self._size <= MAX_BODY:
+        if self._size <= MAX_BODY_BYTES:
             self._chunks.append(chunk)
 
-    def whole_body(self) -> bytes:
-        """Return the body.
+    def read_body(self) -> bytes:
+        """Return the complete body.
 
-        :raises ProblemError: if it was over the bound
+        :raises ProblemError: if it exceeds :data:`MAX_BODY_BYTES`
         """
-        if self._size > MAX_BODY:
-            raise ProblemError(outcomes.too_large(MAX_BODY))
+        if self._size > MAX_BODY_BYTES:
+            raise ProblemError(outcomes.too_large(MAX_BODY_BYTES))
         return b"".join(self._chunks)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
@@ -135,12 +135,12 @@
 
     def on_connection_close(self) -> None:
         if self.exchange is not None:
-            self.exchange.caller_gone()
+            self.exchange.on_caller_disconnected()
 
     def account(self) -> AccountView:
         """Return the client account of the bearer key.
 
-        :raises ProblemError: if it is missing or unknown
+        :raises ProblemError: if the key is missing or unknown
         """
         scheme, _, key = self.request.headers.get("Authorization", "").partition(" ")
         found = find_by_key(self.edge.fleet.account_by_key, key.strip())
@@ -149,9 +149,9 @@
         return found
 
     def deadline(self) -> float:
-        """Return the local time at which the request must have its answer.
+        """Return the request's deadline in local monotonic time.
 
-        :raises ProblemError: if the header is malformed or names a time that has passed
+        :raises ProblemError: if the timeout header is malformed or not positive
         """
         text = self.request.headers.get(TIMEOUT_HEADER, str(DEFAULT_TIMEOUT))
         try:
@@ -163,83 +163,88 @@
             raise ProblemError(outcomes.deadline_passed(Ran.NO))
         return time.monotonic() + min(seconds, MAX_TIMEOUT)
 
-    def key(self, needed: bool) -> str:
-        """Return the idempotency key, empty for none.
+    def idempotency_key(self, required: bool) -> str:
+        """Return the idempotency key, or an empty string if there is none.
 
-        :raises ProblemError: if it is needed and missing, or too long
+        :raises ProblemError: if the key is required and missing, or too long
         """
         key = self.request.headers.get(KEY_HEADER, "")
-        if len(key) > MAX_KEY:
-            raise ProblemError(outcomes.bad_request(f"{KEY_HEADER} is over {MAX_KEY} characters"))
-        if needed and not key:
+        if len(key) > MAX_KEY_LENGTH:
+            raise ProblemError(
+                outcomes.bad_request(f"{KEY_HEADER} is over {MAX_KEY_LENGTH} characters")
+            )
+        if required and not key:
             detail = f"a request that may not be repeated needs an {KEY_HEADER}"
             raise ProblemError(outcomes.bad_request(detail))
         return key
 
-    def marked(self) -> bool:
-        """Tell whether the caller marked the request as not repeatable."""
-        return self.request.headers.get(MARK_HEADER, "").lower() in ("1", "true", "yes")
+    def is_marked_not_repeatable(self) -> bool:
+        """Return whether the caller marked the request as not repeatable."""
+        return self.request.headers.get(NOT_REPEATABLE_HEADER, "").lower() in ("1", "true", "yes")
 
-    async def serve(self, work: Work, finder: Finder, key: str) -> None:
-        """Run a request to its one final answer, through the journal if it has a key."""
+    async def serve(self, outgoing: TargetRequest, finder: TargetFinder, key: str) -> None:
+        """Run a request to its single final answer, through the journal if it has a key."""
         self.edge.in_flight += 1
         began = time.monotonic()
         try:
             if key:
-                await self._serve_once(work, finder, key)
+                await self._serve_idempotent(outgoing, finder, key)
             else:
-                await self._run(work, finder)
+                await self._run(outgoing, finder)
         finally:
             self.edge.in_flight -= 1
             self.edge.metrics.timing("request", (time.monotonic() - began) * 1000)
 
-    async def _run(self, work: Work, finder: Finder) -> CallerSink:
+    async def _run(self, outgoing: TargetRequest, finder: TargetFinder) -> CallerSink:
         edge = self.edge
         sink = CallerSink(self)
         self.exchange = Exchange(
-            work,
+            outgoing,
             sink,
             finder,
             edge.caller,
             edge.targets,
             edge.budget,
-            edge.clocks,
+            edge.stall_timeouts,
             edge.decisions,
             edge.kernel.find("suspects", SuspectsTask),
         )
         await self.exchange.run()
         return sink
 
-    async def _serve_once(self, work: Work, finder: Finder, key: str) -> None:
+    async def _serve_idempotent(
+        self, outgoing: TargetRequest, finder: TargetFinder, key: str
+    ) -> None:
         claims = self.edge.kernel.find("claims", Claims)
-        hashed = hash_key(work.account, key)
-        body = hash_body(work.method, work.path, work.body)
-        row, decided = await self._claim(claims, hashed, body)
+        key_hash = hash_key(outgoing.account, key)
+        body = hash_body(outgoing.method, outgoing.path, outgoing.body)
+        row, decided = await self._claim(claims, key_hash, body)
         if decided.verdict != Verdict.GRANTED:
-            self._answer_repeated(decided)
+            self._answer_duplicate(decided)
             return
         sink = None
         try:
-            sink = await self._run(work, finder)
+            sink = await self._run(outgoing, finder)
         finally:
             self._record(claims, row, sink)
 
     async def _claim(self, claims: Claims, key: bytes, body: bytes) -> tuple[Row, Decided]:
-        """Claim a key, waiting a moment for the end of its first run to be recorded.
+        """Claim a key, waiting briefly for the outcome of the first request to be recorded.
 
-        The first caller has its answer before the record of it is in the store. A repeat in that
-        moment would be told that the key is being run, though its caller may hold the answer.
+        The first request is answered before its outcome is recorded in the store. Without the wait,
+        a duplicate in that interval would be answered "in progress", although its caller may
+        already have the answer.
         """
-        until = time.monotonic() + RECORD_PATIENCE
+        until = time.monotonic() + RECORD_TIMEOUT
         while True:
             row, decided = await claims.claim(key, body)
             running = decided.verdict == Verdict.RUNNING
-            if not running or time.monotonic() + RECORD_POLL > until:
+            if not running or time.monotonic() + RECORD_POLL_INTERVAL > until:
                 return row, decided
-            await asyncio.sleep(RECORD_POLL)
+            await asyncio.sleep(RECORD_POLL_INTERVAL)
 
     def _record(self, claims: Claims, claim: Row, sink: CallerSink | None) -> None:
-        """Record how a claimed request ended; an unknown end leaves the claim as it is."""
+        """Record the outcome of a claimed request; an unknown outcome leaves the claim open."""
         if sink is None or self.exchange is None:
             return
         if sink.answered is not None:
@@ -250,7 +255,7 @@
         if row is not None:
             claims.finish(row)
 
-    def _answer_repeated(self, decided: Decided) -> None:
+    def _answer_duplicate(self, decided: Decided) -> None:
         row = decided.row
         match decided.verdict:
             case Verdict.DONE if row is not None and row.answer_kept:
@@ -263,7 +268,7 @@
                 self.answer_problem(outcomes.duplicate_done())
             case Verdict.KEY_REUSED:
                 self.answer_problem(outcomes.key_reused())
-            case Verdict.RUNNING if row is not None and time.time() - row.at < RUNNING_FOR:
+            case Verdict.RUNNING if row is not None and time.time() - row.at < MAX_RUN_SECONDS:
                 self.answer_problem(outcomes.duplicate_running())
             case Verdict.RUNNING:
                 self.answer_problem(outcomes.duplicate_unknown())
@@ -271,31 +276,31 @@
                 self.answer_problem(outcomes.journal_unavailable())
 
 
-class HealthHandler(Handler):
-    """Alive."""
+class HealthHandler(BaseHandler):
+    """Liveness check."""
 
     async def get(self) -> None:
         self.finish({"alive": True})
 
 
-class ReadyHandler(Handler):
-    """Whether the balancer should send callers here."""
+class ReadyHandler(BaseHandler):
+    """Readiness check: whether the load balancer should send callers to this host."""
 
     async def get(self) -> None:
         self.set_status(200 if self.edge.ready else 503)
         self.finish({"ready": self.edge.ready, "draining": self.edge.withdrawn})
 
 
-class MissingHandler(Handler):
-    """No such path."""
+class NotFoundHandler(BaseHandler):
+    """Answers requests for unknown paths."""
 
     async def prepare(self) -> None:  # type: ignore[override]
         self.set_header(ID_HEADER, self.request_id)
         self.answer_problem(Problem("not-found", 404, Ran.NO, "there is no such path"))
 
 
-class ModelsHandler(Handler):
-    """The models that the caller's account may use."""
+class ModelsHandler(BaseHandler):
+    """Lists the models that the client account may use."""
 
     async def get(self) -> None:
         try:
@@ -307,42 +312,42 @@
         self.finish({"object": "list", "data": sorted(models, key=lambda m: m["id"])})
 
 
-class ChatHandler(Handler):
-    """Chat completions, plain and streamed."""
+class ChatHandler(BaseHandler):
+    """Chat completions, complete and streamed."""
 
     async def post(self) -> None:
         try:
-            work, key = self._work()
+            outgoing, key = self._build_request()
         except ProblemError as error:
             self.answer_problem(error.problem)
             return
-        await self.serve(work, self.edge.router, key)
+        await self.serve(outgoing, self.edge.router, key)
 
-    def _work(self) -> tuple[Work, str]:
+    def _build_request(self) -> tuple[TargetRequest, str]:
         account = self.account()
-        body = self.whole_body()
+        body = self.read_body()
         parsed = self._parse(body)
         name = parse_model(parsed["model"])
         self._check_model(account, name)
         deadline = self.deadline()
-        key = self.key(self.marked())
+        key = self.idempotency_key(self.is_marked_not_repeatable())
         self.edge.admit(account)
         stream = parsed.get("stream") is True
-        wanted = Wanted(
+        requirements = Wanted(
             f"{account.team}/{name.model}", name.version, name.adapter, self._prefix(parsed)
         )
         request = Request(self.request_id, not key, stream, deadline)
-        work = Work(
+        outgoing = TargetRequest(
             request,
             account.account,
-            wanted,
+            requirements,
             account.priority,
             "POST",
             "/v1/chat/completions",
             {"Content-Type": "application/json"},
             body,
         )
-        return work, key
+        return outgoing, key
 
     def _parse(self, body: bytes) -> dict[str, Any]:
         try:
@@ -363,14 +368,14 @@
             raise ProblemError(outcomes.forbidden(name.model))
 
     def _prefix(self, parsed: dict[str, Any]) -> str:
-        """Return the start of the first message: what engines' prefix caches most often share."""
+        """Return the start of the first message, the part most often shared in prefix caches."""
         messages = parsed["messages"]
         content = messages[0].get("content") if messages else ""
         return content[:PREFIX_LENGTH] if isinstance(content, str) else ""
 
 
-class ServiceHandler(Handler):
-    """Calls to plain services."""
+class ServiceHandler(BaseHandler):
+    """Forwards calls to plain services."""
 
     async def get(self, service: str, path: str) -> None:
         await self._forward(service, path)
@@ -386,28 +391,32 @@
 
     async def _forward(self, service: str, path: str) -> None:
         try:
-            work, key = self._work(service, path)
+            outgoing, key = self._build_request(service, path)
         except ProblemError as error:
             self.answer_problem(error.problem)
             return
-        await self.serve(work, self.edge.services, key)
+        await self.serve(outgoing, self.edge.services, key)
 
-    def _work(self, name: str, path: str) -> tuple[Work, str]:
+    def _build_request(self, name: str, path: str) -> tuple[TargetRequest, str]:
         account = self.account()
         service = self.edge.fleet.service_by_name.get((account.team, name))
         if service is None:
             raise ProblemError(outcomes.unknown_model(name))
         if name not in account.services:
             raise ProblemError(outcomes.forbidden(name))
-        body = self.whole_body()
+        body = self.read_body()
         deadline = self.deadline()
-        key = self.key(self.marked() or self._needs_key(service, path))
+        key = self.idempotency_key(
+            self.is_marked_not_repeatable() or self._requires_key(service, path)
+        )
         self.edge.admit(account)
         method = self.request.method or "GET"
         idempotent = not key and method in IDEMPOTENT_METHODS
         query = f"?{self.request.query}" if self.request.query else ""
-        headers = {h: self.request.headers[h] for h in PASSED_HEADERS if h in self.request.headers}
-        work = Work(
+        headers = {
+            h: self.request.headers[h] for h in FORWARDED_HEADERS if h in self.request.headers
+        }
+        outgoing = TargetRequest(
             Request(self.request_id, idempotent, False, deadline),
             account.account,
             Wanted(f"{account.team}/{name}"),
@@ -416,18 +425,18 @@
             path + query,
             headers,
             body,
-            errors_are_answers=True,
+            forward_server_errors=True,
         )
-        return work, key
+        return outgoing, key
 
-    def _needs_key(self, service: PlainService, path: str) -> bool:
+    def _requires_key(self, service: PlainService, path: str) -> bool:
         if self.request.method in ("GET", "HEAD", "OPTIONS"):
             return False
         return any(path.startswith(p) for p in service.get("not_repeatable", []))
 
 
 def routes(edge: Edge) -> list[tuple[str, type[RequestHandler], dict[str, Any]]]:
-    """Return the paths that callers may use."""
+    """Return the routes of the HTTP server for callers."""
     shared = {"edge": edge}
     return [
         (r"/healthz", HealthHandler, shared),
--- a/src/oleanderhill/requests/identity.py
+++ b/src/oleanderhill/requests/identity.py
@@ -1,9 +1,9 @@
-"""Which requests are the same one that came again.
+"""Identity of a request across retries.
 
-Each try of a caller has an id of its own, so ids don't tell. What decides how a target fares under
-a request is what it is asked to do, for whom: method, host, path, account and body. Headers are
-left out, as they differ from try to try (patience, the last event held, a prompt's shared parts),
-and a body counts as it is, white space included.
+A caller gives each retry a new request id, so ids can't be used to recognise a retry. How a target
+fares under a request depends on what is asked and for which client account: method, host, path,
+account and body. Headers are left out because they differ between retries (timeout, last event id,
+shared parts of a prompt). The body is compared byte by byte, including white space.
 """
 
 from __future__ import annotations
@@ -11,18 +11,19 @@
 from hashlib import blake2b
 
 IDENTITY_BYTES = 16
-"""Bytes of an identity: among a million requests two share one by chance in 10 ** 27 cases."""
+"""Length of an identity. Among a million requests, two collide with a probability of 1e-27."""
 
 _KEY = b"oleanderhill request identity"
-"""Keeps identities apart from other hashes of the same bodies. It is no secret: who may read the
-peers' messages and guesses a whole body can check the guess."""
+"""Separates identities from other hashes of the same bodies. It is not secret: whoever can read
+peer messages and guesses a complete body can check the guess."""
 
 
 def identity(method: str, host: str, path: str, account: str, body: bytes) -> str:
-    """Return a name for what a request asks, the same at each entry host and each time it comes.
+    """Return a hash of what a request asks, equal on all entry hosts and for all its retries.
 
-    Each part goes in with its length, so that no two requests run into each other. Neither body
-    nor key can be read from the result, which goes into logs and to peers.
+    Each part is hashed with its length, so that different splits of the same bytes give different
+    identities. Neither the body nor the key can be derived from the result, which is written to
+    logs and sent to peers.
     """
     digest = blake2b(digest_size=IDENTITY_BYTES, key=_KEY)
     for part in (method.encode(), host.lower().encode(), path.encode(), account.encode(), body):
--- a/src/oleanderhill/requests/sink.py
+++ b/src/oleanderhill/requests/sink.py
@@ -1,4 +1,4 @@
-"""Gives the caller of one request its answer: whole, in pieces, or a problem."""
+"""Writes the answer of one request to its caller: complete, as a stream, or as a problem."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from ..metrics import Metrics
 from ..outcomes import Problem, Ran
 
-SLOW_READER_SECONDS = 30.0
+SLOW_READER_TIMEOUT = 30.0
 
 
-class Running(Protocol):
-    """A request under way."""
+class RunningRequest(Protocol):
+    """A request in flight."""
 
-    def caller_gone(self) -> None:
-        """Take note that the caller left."""
+    def on_caller_disconnected(self) -> None:
+        """Handle that the caller closed its connection."""
 
 
-class Answering(RequestHandler):
-    """A handler whose request gets its answer through a :class:`CallerSink`."""
+class AnsweringHandler(RequestHandler):
+    """A handler whose request is answered through a :class:`CallerSink`."""
 
     metrics: Metrics
     request_id: str
-    exchange: Running | None
+    exchange: RunningRequest | None
 
     @property
     def answered(self) -> bool:
-        """Tell whether the final answer was given."""
+        """Return whether the final answer was sent."""
         return self._finished
 
     def answer_problem(self, problem: Problem) -> None:
-        """Give the caller a problem as its final answer."""
+        """Send a problem to the caller as the final answer."""
         self.set_status(problem.status)
         for name, value in problem.headers().items():
             self.set_header(name, value)
@@ -47,9 +47,9 @@
 
 
 class CallerSink:
-    """Gives the caller of one handler its answer."""
+    """Writes the answer of one request through its handler."""
 
-    def __init__(self, handler: Answering) -> None:
+    def __init__(self, handler: AnsweringHandler) -> None:
         self._handler = handler
         self.streamed = False
         self.answered: Reply | None = None
@@ -64,11 +64,11 @@
         handler.metrics.count("answers.whole")
         handler.finish(reply.body)
 
-    def piece(self, chunk: bytes) -> Awaitable[None] | None:
+    def write_events(self, chunk: bytes) -> Awaitable[None] | None:
         handler = self._handler
         connection = handler.request.connection
         if self.streamed and connection is not None:
-            # Past the head a handler's own write only adds buffers and copies.
+            # After the head, RequestHandler.write() only adds a buffer and a copy.
             flushed = connection.write(chunk)
         else:
             self.streamed = True
@@ -78,20 +78,21 @@
             flushed = handler.flush()
         if flushed.done() and flushed.exception() is None:
             return None
-        return self._until_taken(flushed)
+        return self._wait_flushed(flushed)
 
-    async def _until_taken(self, flushed: asyncio.Future[None]) -> None:
-        """Wait until the socket took it all.
+    async def _wait_flushed(self, flushed: asyncio.Future[None]) -> None:
+        """Wait until the socket has accepted all data.
 
-        A slow reader holds back its own stream in this way, and not this host's memory. One that
-        takes nothing for long is cut.
+        This applies back-pressure to the stream of a slow reader instead of buffering it in this
+        host's memory. The request of a reader that accepts nothing for
+        :data:`SLOW_READER_TIMEOUT` seconds is aborted.
         """
         try:
-            async with asyncio.timeout(SLOW_READER_SECONDS):
+            async with asyncio.timeout(SLOW_READER_TIMEOUT):
                 await flushed
         except (StreamClosedError, TimeoutError):
             if self._handler.exchange is not None:
-                self._handler.exchange.caller_gone()
+                self._handler.exchange.on_caller_disconnected()
 
     async def end(self) -> None:
         self.answered = Reply(200, self._handler.request.headers, b"")
@@ -105,8 +106,8 @@
         if not self.streamed:
             handler.answer_problem(problem)
             return
-        # The stream has begun, so the status is gone. The error is the last event, and there
-        # is no [DONE]: a cut stream never looks like a whole one.
+        # The status was sent when the stream began, so the error becomes the last event. [DONE] is
+        # not sent: a caller can always tell a truncated stream from a complete one.
         body = json.dumps(problem.as_body(handler.request_id))
         handler.write(f"event: error\ndata: {body}\n\n")
         handler.metrics.count(f"answers.{problem.kind}")
--- a/src/oleanderhill/requests/stall.py
+++ b/src/oleanderhill/requests/stall.py
@@ -1,7 +1,7 @@
-"""Is a stream stalled? Judged against the group's peers, not by a fixed number alone.
+"""Stall detection for streams, relative to what the model's groups currently deliver.
 
-Under overload all groups slow down together, and cutting their streams would make it worse. Only a
-stream much slower than what its model's other groups show now is called stalled.
+Under overload all groups slow down together, and aborting their streams would make it worse. A
+stream is stalled only when it is much slower than recent waits for the same model.
 """
 
 from __future__ import annotations
@@ -9,49 +9,49 @@
 from collections import deque
 from typing import NamedTuple
 
-SAMPLES = 200
+MAX_SAMPLES = 200
 MIN_SAMPLES = 20
-SAMPLE_EVERY = 4
-"""One wait in so many is kept: all would cost more than the forwarding of a token."""
+SAMPLING_INTERVAL = 4
+"""One wait in this many is recorded. Recording each one costs more than forwarding a token."""
 
-FACTOR = 6.0
+P95_FACTOR = 6.0
 
 
 class Bounds(NamedTuple):
-    """Least and greatest time allowed, in seconds."""
+    """Lower and upper bound of a stall timeout, in seconds."""
 
-    least: float
-    greatest: float
+    minimum: float
+    maximum: float
 
 
-FIRST_TOKEN = Bounds(2.0, 30.0)
-GAP = Bounds(1.0, 15.0)
+FIRST_TOKEN_BOUNDS = Bounds(2.0, 30.0)
+EVENT_GAP_BOUNDS = Bounds(1.0, 15.0)
 
 
-class StallClock:
-    """Recent waits of one kind (first token, or gap) for one model."""
+class StallTimeout:
+    """Adaptive timeout for one kind of wait (first token or event gap) and one model."""
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
-        self._recent: deque[float] = deque(maxlen=SAMPLES)
-        self._limit = bounds.greatest
-        self._since = 0
+        self._samples: deque[float] = deque(maxlen=MAX_SAMPLES)
+        self._limit = bounds.maximum
+        self._waits_since_update = 0
 
     def record(self, seconds: float) -> None:
-        """Take in a wait that ended."""
-        self._since += 1
-        if self._since % SAMPLE_EVERY:
+        """Record the length of a wait that ended."""
+        self._waits_since_update += 1
+        if self._waits_since_update % SAMPLING_INTERVAL:
             return
-        self._recent.append(seconds)
-        if self._since >= MIN_SAMPLES * SAMPLE_EVERY:
-            self._since = 0
-            self._limit = self._bound()
+        self._samples.append(seconds)
+        if self._waits_since_update >= MIN_SAMPLES * SAMPLING_INTERVAL:
+            self._waits_since_update = 0
+            self._limit = self._compute_limit()
 
     def limit(self) -> float:
         """Return the seconds after which a wait counts as a stall."""
         return self._limit
 
-    def _bound(self) -> float:
-        ordered = sorted(self._recent)
+    def _compute_limit(self) -> float:
+        ordered = sorted(self._samples)
         p95 = ordered[int(0.95 * (len(ordered) - 1))]
-        return min(self._bounds.greatest, max(self._bounds.least, FACTOR * p95))
+        return min(self._bounds.maximum, max(self._bounds.minimum, P95_FACTOR * p95))
--- a/src/oleanderhill/requests/suspects.py
+++ b/src/oleanderhill/requests/suspects.py
@@ -1,9 +1,10 @@
-"""Keeps requests that end the targets that run them from being sent on, at the project's own edge.
+"""Quarantine of crash-causing requests for calls that arrive at the project's own HTTP server.
 
-The account is that of :mod:`..routing.endings`. News goes to a few peers drawn at random with each
-tick, who tell it on; each sends the same few messages however many there are. Played in virtual
-time, a quarantine is known to all of 2,200 entry hosts after 4.6 to 5.2 s (five seeds): it counts
-as new by its own age, half a second, and goes on only when it is told again.
+The rules are those of :mod:`..routing.crashes`. At each tick, updates go to a few random peers,
+which pass them on, so the number of messages per host doesn't depend on the number of hosts. In a
+simulation with 2,200 entry hosts, a quarantine reaches all of them within 4.6 to 5.2 s (five
+seeds): an update counts as new for half a second of the quarantine's age, and is passed on after
+that only by the repeated full update.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 from ..routing.endings import EndingBook, EndingNews
 from ..types import Member
 
-TOLD = 3
-"""Peers that are told at each tick."""
+UPDATE_FANOUT = 3
+"""Peers that receive an update at each tick."""
 
-TOLD_AGAIN = 2.0
-"""Seconds until what was told is told again, to those that restarted or were cut off."""
+FULL_UPDATE_INTERVAL = 2.0
+"""Seconds between full updates, which reach peers that restarted or were partitioned."""
 
 
 class SuspectsTask(Task):
-    """Owns the account of endings of this entry host.
+    """Tracks the target crashes and the quarantined requests known to this entry host.
 
-    :param targets: returns how many targets serve now
-    :param look: tells whether anybody listens at an address
+    :param targets: returns the number of targets that serve now
+    :param probe: checks whether a process listens at an address
     """
 
     name = "suspects"
@@ -48,57 +49,59 @@
         rng: random.Random,
         decisions: Decisions,
         targets: Callable[[], int],
-        look: Callable[[str], Awaitable[Listening]] = listening,
+        probe: Callable[[str], Awaitable[Listening]] = listening,
     ) -> None:
         super().__init__(kernel)
         self._host = host
         self._rng = rng
         self._decisions = decisions
         self._targets = targets
-        self._look = look
-        self._book = EndingBook()
-        self._told_at = float("-inf")
+        self._probe = probe
+        self._tracker = EndingBook()
+        self._full_update_at = float("-inf")
 
-    def problem(self, identity: str, ran: Ran) -> Problem | None:
-        """Return why a request is not sent, ``None`` for one that may be."""
-        return self._book.problem(identity, awake_or_not(), ran)
+    def rejection_for(self, identity: str, ran: Ran) -> Problem | None:
+        """Return why a request is rejected, or ``None`` if it may be sent."""
+        return self._tracker.problem(identity, awake_or_not(), ran)
 
     def may_send(self, identity: str) -> bool:
-        """Tell whether a request may be sent at this very moment."""
-        return self._book.quarantined(identity) is None
-
-    def lost(self, identity: str, request_id: str, at: Member, ran_for: float) -> None:
-        """Take note that a try was lost at a target, after some seconds there."""
-        life = f"{at.host}@{at.boot_id}"
-        new = self._book.lost(identity, life, ran_for, awake_or_not())
-        text = f"lost at {life} after {ran_for:.2f} s, same as {identity}"
+        """Return whether a request is not quarantined at this moment."""
+        return self._tracker.quarantined(identity) is None
+
+    def record_lost_attempt(
+        self, identity: str, request_id: str, at: Member, ran_for: float
+    ) -> None:
+        """Record that an attempt was lost at a target, ``ran_for`` seconds after it was sent."""
+        incarnation = f"{at.host}@{at.boot_id}"
+        new = self._tracker.lost(identity, incarnation, ran_for, awake_or_not())
+        text = f"attempt lost at {incarnation} after {ran_for:.2f} s, request identity {identity}"
         self._decisions.note("route", request_id, text, (identity,))
         if new:
-            self.spawn(self._look_at(life, at.address))
+            self.spawn(self._confirm_crash(incarnation, at.address))
 
-    def answered(self, identity: str) -> None:
-        """Take note of a whole answer to a request."""
-        cleared, quarantined = self._book.answered(identity, awake_or_not())
+    def record_answer(self, identity: str) -> None:
+        """Record that a request was answered completely."""
+        cleared, quarantined = self._tracker.answered(identity, awake_or_not())
         if cleared:
-            self._decisions.note("route", identity, "cleared by a whole answer")
-        self._quarantined(quarantined, "another was cleared")
+            self._decisions.note("route", identity, "cleared by a complete answer")
+        self._log_quarantined(quarantined, "another request was cleared")
 
     async def tick(self) -> None:
-        """Tell a few peers what is new."""
+        """Send pending updates to a few peers."""
         now = awake_or_not()
-        self._book.targets = self._targets()
-        self._book.forget(now)
-        again = now - self._told_at >= TOLD_AGAIN
-        if again:
-            self._told_at = now
-        parts = self._book.news(self._host, now, again)
-        if not parts:
+        self._tracker.targets = self._targets()
+        self._tracker.forget(now)
+        full = now - self._full_update_at >= FULL_UPDATE_INTERVAL
+        if full:
+            self._full_update_at = now
+        updates = self._tracker.news(self._host, now, full)
+        if not updates:
             return
         live = self.kernel.find("membership", MembershipTask).live()
         others = [row.address for name, row in sorted(live.items()) if name != self._host]
-        for address in self._rng.sample(others, min(TOLD, len(others))):
-            for part in parts:
-                self.kernel.post("peers", SendTo(address, part))
+        for address in self._rng.sample(others, min(UPDATE_FANOUT, len(others))):
+            for update in updates:
+                self.kernel.post("peers", SendTo(address, update))
 
     @singledispatchmethod
     def receive(self, body: Any, envelope: Received) -> None:
@@ -106,16 +109,23 @@
 
     @receive.register
     def _(self, body: EndingNews, envelope: Received) -> None:
-        self._quarantined(self._book.hear(body, awake_or_not()), f"told by {envelope.sender}")
+        self._log_quarantined(
+            self._tracker.hear(body, awake_or_not()), f"reported by {envelope.sender}"
+        )
 
-    async def _look_at(self, life: str, address: str) -> None:
+    async def _confirm_crash(self, incarnation: str, address: str) -> None:
+        """Probe the target's address, and confirm the crash once a connection is refused."""
         for seconds in LOOK_AFTER:
             await asyncio.sleep(seconds)
-            if await self._look(address) == Listening.REFUSED:
-                self._quarantined(self._book.over(life, awake_or_not()), f"{life} ended")
+            if await self._probe(address) == Listening.REFUSED:
+                self._log_quarantined(
+                    self._tracker.over(incarnation, awake_or_not()), f"{incarnation} crashed"
+                )
                 return
 
-    def _quarantined(self, identities: list[str], reason: str) -> None:
+    def _log_quarantined(self, identities: list[str], reason: str) -> None:
         for identity in identities:
-            lives = self._book.quarantined(identity)
-            self._decisions.note("route", identity, f"sent to nobody any more: {reason}; {lives}")
+            incarnations = self._tracker.quarantined(identity)
+            self._decisions.note(
+                "route", identity, f"quarantined: {reason}; crashed targets: {incarnations}"
+            )
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The life of one request: what the caller is told follows from what left this host."""
+"""State machine of one request: the reported status depends on which bytes were sent."""
 
 import unittest
 
@@ -9,87 +9,87 @@
 from oleanderhill.types import Member
 
 
-def choice(group: str) -> Choice:
+def make_choice(group: str) -> Choice:
     return Choice(group, 1, Member("h", "127.0.0.1:1", "b"), "dc", "test")
 
 
-def machine(idempotent: bool = True, stream: bool = False) -> RequestMachine:
+def make_machine(idempotent: bool = True, stream: bool = False) -> RequestMachine:
     return RequestMachine(Request("r", idempotent, stream, 100.0), RetryBudget())
 
 
-def sent(m: RequestMachine, group: str = "g1") -> None:
+def start_sending(m: RequestMachine, group: str = "g1") -> None:
     m.start()
-    m.handle(attempts.Chosen(choice(group)), 0.0)
+    m.handle(attempts.Chosen(make_choice(group)), 0.0)
     m.handle(attempts.Sending(m.attempt), 0.0)
 
 
 class RequestMachineTest(unittest.TestCase):
     def test_lost_after_sending_is_unknown_and_ends_at_once_when_not_idempotent(self):
-        # The caller of a payment sees "unknown" at once, and no second attempt is made:
-        # bytes left, the connection broke, and the target may have paid.
-        m = machine(idempotent=False)
-        sent(m)
+        # Guards against a payment that runs twice: bytes were sent and the connection broke, so the
+        # target may have paid. The caller is told "unknown" immediately, without a retry.
+        m = make_machine(idempotent=False)
+        start_sending(m)
         effects = m.handle(attempts.Lost(1, "reset"), 1.0)
         fails = [e for e in effects if isinstance(e, attempts.Fail)]
         self.assertEqual([f.problem.ran for f in fails], [Ran.UNKNOWN])
         self.assertFalse([e for e in effects if isinstance(e, attempts.Select)])
 
     def test_connect_failure_is_retried_elsewhere_even_when_not_idempotent(self):
-        m = machine(idempotent=False)
+        m = make_machine(idempotent=False)
         m.start()
-        m.handle(attempts.Chosen(choice("g1")), 0.0)
+        m.handle(attempts.Chosen(make_choice("g1")), 0.0)
         effects = m.handle(attempts.ConnectFailed(1, "refused"), 0.0)
         self.assertEqual(effects, [attempts.Select(frozenset({"g1@1"}))])
 
     def test_refused_before_start_then_no_target_is_told_as_not_run(self):
-        m = machine(idempotent=False)
-        sent(m)
+        m = make_machine(idempotent=False)
+        start_sending(m)
         m.handle(attempts.NotStarted(1, "wrong group"), 0.0)
         effects = m.handle(attempts.Chosen(NoChoice("none", False, True)), 0.0)
         self.assertEqual(effects[-1].problem.ran, Ran.NO)
 
     def test_lost_once_then_refused_is_still_unknown(self):
-        # First attempt: bytes left and the connection broke. Second: refused before start.
-        # "Not run" would be a lie about the first.
-        m = machine()
-        sent(m)
+        # The first attempt is lost after bytes were sent, and the second is refused before it
+        # starts. "Not run" would be wrong, because the first attempt may have run.
+        m = make_machine()
+        start_sending(m)
         m.handle(attempts.Lost(1, "reset"), 0.0)
-        m.handle(attempts.Chosen(choice("g2")), 0.0)
+        m.handle(attempts.Chosen(make_choice("g2")), 0.0)
         m.handle(attempts.Sending(2), 0.0)
         m.handle(attempts.NotStarted(2, "wrong group"), 0.0)
         effects = m.handle(attempts.Chosen(NoChoice("none", False, True)), 0.0)
         self.assertEqual(effects[-1].problem.ran, Ran.UNKNOWN)
 
     def test_stream_resumes_at_the_offset_that_the_caller_has(self):
-        m = machine(stream=True)
-        sent(m)
+        m = make_machine(stream=True)
+        start_sending(m)
         m.handle(attempts.Piece(1, 3), 0.0)
         m.handle(attempts.Piece(1, 2), 0.0)
         m.handle(attempts.Lost(1, "stalled"), 0.0)
-        effects = m.handle(attempts.Chosen(choice("g2")), 0.0)
-        self.assertEqual(effects, [attempts.Dispatch(2, choice("g2"), 5)])
+        effects = m.handle(attempts.Chosen(make_choice("g2")), 0.0)
+        self.assertEqual(effects, [attempts.Dispatch(2, make_choice("g2"), 5)])
 
     def test_late_answer_of_an_abandoned_attempt_is_ignored(self):
-        m = machine()
-        sent(m)
+        m = make_machine()
+        start_sending(m)
         m.handle(attempts.Lost(1, "stalled"), 0.0)
-        m.handle(attempts.Chosen(choice("g2")), 0.0)
+        m.handle(attempts.Chosen(make_choice("g2")), 0.0)
         self.assertEqual(m.handle(attempts.Finished(1), 0.0), [])
         self.assertNotEqual(m.phase, attempts.Phase.DONE)
 
     def test_nothing_follows_the_final_answer(self):
-        m = machine()
-        sent(m)
+        m = make_machine()
+        start_sending(m)
         self.assertEqual(m.handle(attempts.Finished(1), 0.0), [attempts.Deliver()])
         self.assertEqual(m.handle(attempts.DeadlineHit(), 0.0), [])
         self.assertEqual(m.handle(attempts.Finished(1), 0.0), [])
 
     def test_deadline_before_sending_is_not_run_and_after_is_unknown(self):
-        early = machine()
+        early = make_machine()
         early.start()
         self.assertEqual(early.handle(attempts.DeadlineHit(), 9.0)[-1].problem.ran, Ran.NO)
-        late = machine()
-        sent(late)
+        late = make_machine()
+        start_sending(late)
         self.assertEqual(late.handle(attempts.DeadlineHit(), 9.0)[-1].problem.ran, Ran.UNKNOWN)
 
     def test_retries_stay_within_their_part_of_the_requests(self):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge over real HTTP on loopback: bad input, and each final answer."""
+"""The HTTP server for callers over loopback: invalid input, and each kind of final answer."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 from oleanderhill.journal.claims import Claims
 from oleanderhill.journal.once import Decided, Row, RowKind, Verdict
 from oleanderhill.requests.edge import Edge
-from oleanderhill.requests.handlers import MAX_BODY
+from oleanderhill.requests.handlers import MAX_BODY_BYTES
 from oleanderhill.routing import dispatch
 from oleanderhill.routing.messages import DomainEvidence, GroupState
 from oleanderhill.settings.checking import load_boot
@@ -41,7 +41,7 @@
 }
 
 
-def yard(service):
+def make_settings(service):
     return {
         "models": {"m": {"versions": {"v1": {"weights_gb": 1}}}, "secret": {"versions": {}}},
         "groups": {"g": {"model": "m", "version": "v1", "hosts": 1, "replicas": {"hall": 1}}},
@@ -67,7 +67,7 @@
     }
 
 
-class Collector(Observer):
+class BodyCollector(Observer):
     def __init__(self):
         self.body = b""
 
@@ -75,8 +75,8 @@
         self.body += chunk
 
 
-class _ClaimsThatFinish(Claims):
-    """Claims whose verdicts are given; the last one stays."""
+class _ScriptedClaims(Claims):
+    """Claims that return the given verdicts in order, and repeat the last one."""
 
     def __init__(self, verdicts):
         self._verdicts = verdicts
@@ -106,7 +106,7 @@
         self.callers = boot["listen"]["callers"]
         self.edge = self.kernel.find("edge", Edge)
         self.caller = HttpCaller()
-        self.give_settings()
+        self.apply_settings()
         self.serve_group()
         await asyncio.sleep(0)
 
@@ -121,9 +121,9 @@
         self.servers.append(application.listen(int(port), ip))
         return address
 
-    def give_settings(self):
+    def apply_settings(self):
         documents = self.kernel.find("documents", DocumentsTask)
-        tree = msgspec.Raw(json.dumps(yard(self.service)).encode())
+        tree = msgspec.Raw(json.dumps(make_settings(self.service)).encode())
         documents.offer(Document("settings/yard", 1, encode_subtree(Subtree(1, tree, ()))), "test")
         documents.loaded = True
         self.edge.fleet = documents.fleet
@@ -143,105 +143,110 @@
         evidence = DomainEvidence("d", "hall", 1, 1, states, (record,), 1)
         self.edge.router.book.learn(evidence, asyncio.get_running_loop().time())
 
-    async def ask(
+    async def send(
         self, method="POST", path="/v1/chat/completions", body=None, key="key", **headers
     ):
-        body = body if isinstance(body, bytes) else json.dumps(body or chat()).encode()
+        body = body if isinstance(body, bytes) else json.dumps(body or chat_body()).encode()
         sent = {"Authorization": f"Bearer {key}"}
         sent.update({k.replace("_", "-"): v for k, v in headers.items()})
-        collector = Collector()
+        collector = BodyCollector()
         call = Call(self.callers, method, path, sent, body if method != "GET" else b"", 10.0)
         reply = (await self.caller.call(call, collector)).value_or(None)
         self.assertIsNotNone(reply)
         self.reply = reply
         return reply.status, collector.body
 
-    async def refused(self, status, kind, ran="no", **arguments):
-        found, body = await self.ask(**arguments)
+    async def assert_problem(self, status, kind, ran="no", **arguments):
+        received_status, body = await self.send(**arguments)
         problem = json.loads(body)
-        self.assertEqual((found, problem["type"]), (status, outcomes.PROBLEM_BASE + kind))
+        self.assertEqual((received_status, problem["type"]), (status, outcomes.PROBLEM_BASE + kind))
         self.assertEqual((problem["ran"], self.reply.headers["X-Request-Ran"]), (ran, ran))
         return problem
 
     async def test_whole_answer_plain_and_streamed(self):
-        status, body = await self.ask(body=chat(max_tokens=5))
+        status, body = await self.send(body=chat_body(max_tokens=5))
         self.assertEqual(status, 200)
         content = json.loads(body)["choices"][0]["message"]["content"]
         self.assertEqual(content, engine_standin.answer("hello", 5))
-        status, body = await self.ask(body=chat(max_tokens=5, stream=True))
+        status, body = await self.send(body=chat_body(max_tokens=5, stream=True))
         self.assertEqual(body.count(b"\n\n"), 6)
         self.assertTrue(body.endswith(b"data: [DONE]\n\n"))
 
     async def test_malformed_bodies_are_refused(self):
         for body in (b"{", b"[]", b'{"model": 1}', b'{"model": "m", "messages": [1]}'):
-            await self.refused(400, "bad-request", body=body)
+            await self.assert_problem(400, "bad-request", body=body)
 
     async def test_oversized_body_is_refused_unread(self):
-        await self.refused(413, "too-large", body=b"x" * (MAX_BODY + 1))
+        await self.assert_problem(413, "too-large", body=b"x" * (MAX_BODY_BYTES + 1))
 
     async def test_wrong_key_unknown_and_forbidden_models_are_told_apart(self):
-        await self.refused(401, "unauthenticated", key="wrong")
-        await self.refused(404, "unknown-model", body=chat(model="none"))
-        await self.refused(403, "forbidden", body=chat(model="secret"))
-        await self.refused(403, "forbidden", key="slow", method="GET", path="/services/desk/x")
+        await self.assert_problem(401, "unauthenticated", key="wrong")
+        await self.assert_problem(404, "unknown-model", body=chat_body(model="none"))
+        await self.assert_problem(403, "forbidden", body=chat_body(model="secret"))
+        await self.assert_problem(
+            403, "forbidden", key="slow", method="GET", path="/services/desk/x"
+        )
 
     async def test_account_over_its_rate_is_told_when_to_come_back(self):
-        await self.ask(key="slow")
-        problem = await self.refused(429, "over-limit", key="slow")
+        await self.send(key="slow")
+        problem = await self.assert_problem(429, "over-limit", key="slow")
         self.assertGreater(problem["retry_after"], 0)
         self.assertGreaterEqual(int(self.reply.headers["Retry-After"]), 1)
 
     async def test_expired_or_malformed_deadline_is_not_run(self):
-        await self.refused(504, "deadline-passed", X_Request_Timeout="0")
-        await self.refused(400, "bad-request", X_Request_Timeout="soon")
+        await self.assert_problem(504, "deadline-passed", X_Request_Timeout="0")
+        await self.assert_problem(400, "bad-request", X_Request_Timeout="soon")
 
     async def test_deadline_during_the_run_is_unknown_and_the_engine_is_told(self):
         self.engine.pace = 0.2
-        await self.refused(504, "deadline-passed", ran="unknown", X_Request_Timeout="0.5")
+        await self.assert_problem(504, "deadline-passed", ran="unknown", X_Request_Timeout="0.5")
         await asyncio.sleep(0.5)
         self.assertEqual(self.engine.running, {})
 
     async def test_no_whole_group_is_not_run_with_a_time_to_come_back(self):
         self.edge.router.router.by_group.clear()
-        problem = await self.refused(503, "no-capacity")
+        problem = await self.assert_problem(503, "no-capacity")
         self.assertGreater(problem["retry_after"], 0)
 
     async def test_target_that_refuses_before_the_start_is_not_run(self):
         self.engine.epoch = 7
         with mock.patch.object(dispatch, "PATIENCE", 0.3):
-            await self.refused(503, "no-capacity")
+            await self.assert_problem(503, "no-capacity")
 
     async def test_cut_stream_of_the_only_group_ends_with_a_typed_error_and_no_done(self):
-        # The engine's connection breaks after three tokens and no other group can go on. The
-        # caller has three tokens and then an error event; "[DONE]" never comes.
+        # Guards against a truncated stream that looks complete: the engine's connection breaks
+        # after three tokens and no other group can resume it. The caller gets an error event and
+        # never "[DONE]".
         self.engine.faults["cut_after"] = 3
-        status, body = await self.ask(body=chat(max_tokens=9, stream=True), X_Request_Timeout="2")
+        status, body = await self.send(
+            body=chat_body(max_tokens=9, stream=True), X_Request_Timeout="2"
+        )
         self.assertEqual(status, 200)
         self.assertIn(b"event: error", body)
         self.assertNotIn(b"[DONE]", body)
 
     async def test_caller_that_leaves_cancels_the_engines_stream(self):
         self.engine.pace = 0.05
-        body = json.dumps(chat(max_tokens=1000, stream=True)).encode()
+        body = json.dumps(chat_body(max_tokens=1000, stream=True)).encode()
         headers = {"Authorization": "Bearer key"}
         call = Call(self.callers, "POST", "/v1/chat/completions", headers, body, None)
-        task = asyncio.create_task(self.caller.call(call, Collector()))
-        await until(lambda: self.engine.running)
+        task = asyncio.create_task(self.caller.call(call, BodyCollector()))
+        await wait_until(lambda: self.engine.running)
         task.cancel()
-        await until(lambda: not self.engine.running)
-        await until(lambda: self.edge.in_flight == 0)
+        await wait_until(lambda: not self.engine.running)
+        await wait_until(lambda: self.edge.in_flight == 0)
 
     async def test_slow_reader_holds_back_its_own_stream(self):
-        # The caller reads nothing. What the engine writes stays within the sockets' buffers
-        # and the edge's one chunk; it is not gathered in memory.
+        # Guards against unbounded buffering for a caller that reads nothing. What the engine writes
+        # is limited to the socket buffers and one chunk in the server.
         self.engine.faults["padding"] = 64 * 1024
         ip, port = self.callers.rsplit(":", 1)
         reader, writer = await asyncio.open_connection(ip, int(port), limit=1024)
-        body = json.dumps(chat(max_tokens=10_000, stream=True)).encode()
+        body = json.dumps(chat_body(max_tokens=10_000, stream=True)).encode()
         head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key\r\n"
         writer.write(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
         reader._transport.pause_reading()
-        await until(lambda: self.edge.in_flight == 1)
+        await wait_until(lambda: self.edge.in_flight == 1)
         seen = -1
         while seen != self.engine.tokens:
             seen = self.engine.tokens
@@ -249,45 +254,45 @@
         self.assertLess(seen, 1000)
         self.assertEqual((len(self.engine.running), self.edge.in_flight), (1, 1))
         writer.transport.abort()
-        await until(lambda: self.edge.in_flight == 0)
+        await wait_until(lambda: self.edge.in_flight == 0)
 
     async def test_call_that_may_not_be_repeated_needs_a_key(self):
-        await self.refused(400, "bad-request", path="/services/desk/pay")
-        await self.refused(400, "bad-request", X_Not_Repeatable="true")
+        await self.assert_problem(400, "bad-request", path="/services/desk/pay")
+        await self.assert_problem(400, "bad-request", X_Not_Repeatable="true")
 
     async def test_call_that_cannot_be_claimed_is_not_run(self):
-        # The store can't be reached, so the key can't be recorded: refused, not run on hope.
-        problem = await self.refused(
+        # The store is unreachable, so the key can't be recorded and the request is rejected unrun.
+        problem = await self.assert_problem(
             503, "journal-unavailable", path="/services/desk/pay", Idempotency_Key="k"
         )
         self.assertGreater(problem["retry_after"], 0)
 
     async def test_key_repeated_before_its_end_is_recorded_gets_the_answer_that_was_given(self):
-        # A caller pays, gets its 200, and asks again with the same key at another entry host. The
-        # record that the payment ended is still on its way to the store, so the claim stands as
-        # running. Told "in progress" (409), the caller would not know of an answer it has seen.
+        # A caller whose payment was answered with 200 repeats the key at another entry host, before
+        # the outcome has reached the store, so the claim still reads as running. Guards against an
+        # "in progress" (409) answer for a payment whose answer the caller already has.
         verdicts = [Verdict.RUNNING, Verdict.RUNNING, Verdict.DONE]
-        self.kernel.register(_ClaimsThatFinish(verdicts))
-        status, body = await self.ask(path="/services/desk/pay", Idempotency_Key="k")
+        self.kernel.register(_ScriptedClaims(verdicts))
+        status, body = await self.send(path="/services/desk/pay", Idempotency_Key="k")
         self.assertEqual((status, body), (200, b'{"paid": 1}'))
         self.assertEqual(self.reply.headers["X-Idempotent-Replay"], "true")
 
     async def test_key_that_goes_on_running_is_told_so_within_a_second(self):
-        self.kernel.register(_ClaimsThatFinish([Verdict.RUNNING]))
+        self.kernel.register(_ScriptedClaims([Verdict.RUNNING]))
         began = time.monotonic()
-        await self.refused(
+        await self.assert_problem(
             409, "in-progress", "unknown", path="/services/desk/pay", Idempotency_Key="k"
         )
         self.assertLess(time.monotonic() - began, 2.0)
 
     async def test_plain_service_is_forwarded_with_query_and_status(self):
-        status, body = await self.ask("GET", "/services/desk/scan?x=1")
+        status, body = await self.send("GET", "/services/desk/scan?x=1")
         self.assertEqual((status, json.loads(body)["path"]), (200, "scan"))
 
     async def test_draining_host_refuses_new_requests_as_not_run(self):
         self.edge.draining = self.edge.withdrawn = True
-        await self.refused(503, "draining")
-        status, _ = await self.ask("GET", "/readyz")
+        await self.assert_problem(503, "draining")
+        status, _ = await self.send("GET", "/readyz")
         self.assertEqual(status, 503)
 
 
@@ -305,7 +310,7 @@
 
 
 class HttpCallTest(unittest.IsolatedAsyncioTestCase):
-    async def fails(self, reply, timeout=2.0):
+    async def failure_for(self, reply, timeout=2.0):
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(reply)
@@ -319,11 +324,11 @@
         return result.failure()
 
     async def test_truncated_reply_is_lost_not_whole(self):
-        failure = await self.fails(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+        failure = await self.failure_for(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
         self.assertEqual((failure.kind, failure.sent), (httpcall.FailureKind.LOST, True))
 
     async def test_reply_that_ends_with_its_connection_is_never_whole(self):
-        failure = await self.fails(b"HTTP/1.1 200 OK\r\n\r\nmaybe all")
+        failure = await self.failure_for(b"HTTP/1.1 200 OK\r\n\r\nmaybe all")
         self.assertTrue(failure.sent)
 
     async def test_refused_connection_sent_nothing(self):
@@ -331,13 +336,13 @@
         self.assertFalse(result.failure().sent)
 
 
-def chat(**more):
+def chat_body(**more):
     return {"model": "m", "messages": [{"role": "user", "content": "hello"}], **more}
 
 
-async def until(condition):
+async def wait_until(condition):
     for _ in range(300):
         if condition():
             return
         await asyncio.sleep(0.02)
-    raise AssertionError("it did not come about")
+    raise AssertionError("the condition was not met within 6 s")
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""The project's own edge: requests that end each engine that begins to run them."""
+"""Crash-causing requests at the project's own HTTP server."""
 
 import asyncio
 import random
@@ -12,30 +12,30 @@
 from oleanderhill.decisions import Decisions
 from oleanderhill.kernel import Kernel
 from oleanderhill.requests.attempts import Request, RetryBudget
-from oleanderhill.requests.exchange import Exchange, StallClocks, Work
+from oleanderhill.requests.exchange import Exchange, StallTimeouts, TargetRequest
 from oleanderhill.requests.suspects import SuspectsTask
 from oleanderhill.routing.router import Choice, Wanted
 from oleanderhill.types import Member
 
 
-class _Engines:
-    """Finds a new engine each time; each ends when a request comes to it."""
+class _CrashingEngines:
+    """Selects a new engine each time, which crashes when it receives a request."""
 
     def __init__(self):
-        self.ended = 0
+        self.crashes = 0
         self.ejected = 0
 
-    async def acquire(self, waiter, wanted, exclude):
+    async def acquire(self, waiter, requirements, exclude):
         address = free_address()
         ip, port = address.rsplit(":", 1)
 
-        async def end(reader, writer):
+        async def crash(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            self.ended += 1
+            self.crashes += 1
             server.close()
             writer.close()
 
-        server = await asyncio.start_server(end, ip, int(port))
+        server = await asyncio.start_server(crash, ip, int(port))
         name = f"host-{port}-{ip}"
         return Choice(name, 1, Member(name, address, "boot"), "hall", "")
 
@@ -48,10 +48,10 @@
     def eject(self, choice, now):
         self.ejected += 1
 
-    def watch(self, run, choice, broken):
+    def watch(self, attempt_id, choice, on_lost):
         pass
 
-    def unwatch(self, run):
+    def unwatch(self, attempt_id):
         pass
 
 
@@ -64,30 +64,39 @@
 
 
 class OwnEdgeTest(unittest.IsolatedAsyncioTestCase):
-    async def ask(self, finder, suspects, number, body=b"fatal"):
+    async def send(self, finder, suspects, number, body=b"fatal"):
         sink, request = _Sink(), Request(f"r{number}", True, False, time.monotonic() + 5.0)
-        wanted = Wanted("m", "", "", "")
-        work = Work(request, "hall", wanted, 1, "POST", "/v1/chat/completions", {}, body)
-        unused = SimpleNamespace(cancel=lambda address, run: asyncio.sleep(0))
-        parts = (HttpCaller(), unused, RetryBudget(), StallClocks(), Decisions("entry"), suspects)
-        await Exchange(work, sink, finder, *parts).run()
+        requirements = Wanted("m", "", "", "")
+        outgoing = TargetRequest(
+            request, "hall", requirements, 1, "POST", "/v1/chat/completions", {}, body
+        )
+        target_client = SimpleNamespace(cancel=lambda address, attempt_id: asyncio.sleep(0))
+        parts = (
+            HttpCaller(),
+            target_client,
+            RetryBudget(),
+            StallTimeouts(),
+            Decisions("entry"),
+            suspects,
+        )
+        await Exchange(outgoing, sink, finder, *parts).run()
         return sink.problem
 
     async def test_request_that_ends_each_engine_is_soon_passed_on_to_none(self):
-        # A caller sends the same request again and again; each time four engines end, which is the
-        # most attempts of one request. Nothing was kept of it beyond its own answer: ten tries
-        # ended forty engines. Its id is new each time; method, path, account and body are the same.
+        # Guards against a crash-causing request that its caller keeps retrying. Each retry has a
+        # new id but the same method, path, account and body. If nothing is remembered beyond one
+        # answer, ten retries at the maximum of four attempts each crash forty engines.
         suspects = SuspectsTask(Kernel(), "entry", random.Random(1), Decisions("entry"), lambda: 10)
-        finder = _Engines()
+        finder = _CrashingEngines()
         for number in range(10):
-            problem = await self.ask(finder, suspects, number)
+            problem = await self.send(finder, suspects, number)
             await asyncio.sleep(0.3)
-        self.assertLessEqual(finder.ended, 6)
+        self.assertLessEqual(finder.crashes, 6)
         self.assertEqual(
             (problem.kind, problem.ran, problem.retry_after), ("ends-targets", "no", None)
         )
         ejected = finder.ejected
-        await self.ask(finder, suspects, 11)
+        await self.send(finder, suspects, 11)
         self.assertEqual(finder.ejected, ejected)
 
 
