--- a/src/oleanderhill/members/__init__.py
+++ b/src/oleanderhill/members/__init__.py
@@ -1,1 +1,1 @@
-"""Which entry hosts there are, and messages among them."""
+"""Membership of entry hosts and messaging between them."""
--- a/src/oleanderhill/members/membership.py
+++ b/src/oleanderhill/members/membership.py
@@ -1,9 +1,9 @@
-"""Membership of entry hosts by gossip of heartbeats: a pure state machine.
+"""Membership of entry hosts by heartbeat gossip, as a state machine without I/O.
 
-Each entry host raises its own heartbeat and sends a bounded part of what it knows to a few random
-peers every :data:`GOSSIP_INTERVAL`. Nobody is asked for an answer, so a one-way link or a paused
-peer costs nothing but staleness. Membership only guides (who should own, who watches, how limits
-are shared); no safety rests on it.
+Every :data:`GOSSIP_INTERVAL`, each entry host increments its own heartbeat and sends a bounded part
+of what it knows to a few random peers. Messages need no reply, so a one-way link or a paused peer
+only makes the view staler. Membership is advisory: it suggests owners and watchers and the division
+of limits, and no safety property depends on it.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 GOSSIP_INTERVAL = 1.0
 FANOUT = 2
 ROWS_PER_MESSAGE = 3
-"""Full rows in one message, of about 55 bytes; they introduce hosts."""
+"""Full rows in one message, about 55 bytes each; they introduce hosts to the receiver."""
 
-BEATS_PER_MESSAGE = 32
-"""Heartbeats in one message, of about 16 bytes; they keep known hosts alive.
+HEARTBEATS_PER_MESSAGE = 32
+"""Heartbeats in one message, about 16 bytes each; they keep known hosts live.
 
-Two messages a second cost 1.3 KB/s at most, however many hosts a data centre has; what grows
-instead is the time after which a silent host is suspected.
+Two messages a second take at most 1.3 KB/s, whatever the size of the data centre; the time after
+which a silent host is suspected grows instead.
 """
 
-FAR_CONTACTS = 9
-"""Hosts remembered of each other data centre, so that rows don't grow with the fleet."""
+REMOTE_CONTACTS = 9
+"""Hosts stored per other data centre, so that the rows don't grow with the size of the fleet."""
 
-FAR_SUSPECT_AFTER = 30.0
-FAR_EVERY = 5
-"""Messages to another data centre: one in so many intervals."""
+REMOTE_SUSPECT_AFTER = 30.0
+REMOTE_GOSSIP_INTERVALS = 5
+"""Gossip intervals between two messages to another data centre."""
 
 SUSPECT_AFTER = 5.0
-"""Seconds of silence after which a host is suspected, in data centres up to :data:`QUICK_SIZE`."""
+"""Seconds without a heartbeat until a host is suspected, up to :data:`BASE_TIMEOUT_HOSTS`."""
 
-QUICK_SIZE = 25
-"""Hosts of a data centre whose beats all go round within :data:`SUSPECT_AFTER`, as measured."""
+BASE_TIMEOUT_HOSTS = 25
+"""Hosts of a data centre up to which all heartbeats spread within :data:`SUSPECT_AFTER`."""
 
-TAG_MASK = 0xFFFF
+INCARNATION_TAG_MASK = 0xFFFF
 FORGET_AFTER = 60.0
 
 
 class PeerState(StrEnum):
-    """How this entry host sees a peer."""
+    """State of a peer as seen by this entry host."""
 
     LIVE = "live"
     SUSPECT = "suspect"
@@ -51,12 +51,13 @@
 
 
 class Row(NamedTuple):
-    """One entry host as gossiped.
+    """The gossiped state of one entry host.
 
-    :param incarnation: raised at each start (wall clock in ms), so that a restarted host wins
-    :param heartbeat: raised by its owner once an interval
-    :param left: it said goodbye
-    :param life: random for each start; unlike the incarnation it never changes within one
+    :param incarnation: start time (wall clock in ms), so that the row of a restarted host prevails;
+        incremented to refute outdated rows about this host
+    :param heartbeat: incremented by the host itself once per interval
+    :param left: whether the host announced that it leaves
+    :param life: random id of one run of the process; unlike ``incarnation``, constant during it
     """
 
     host: str
@@ -68,10 +69,10 @@
     life: str = ""
 
 
-class Beat(NamedTuple):
-    """The heartbeat of a host whose row the receiver knows.
+class Heartbeat(NamedTuple):
+    """The heartbeat of a host, for receivers that have its row.
 
-    :param tag: lowest 16 bits of the incarnation; of another one the beat is ignored
+    :param tag: lowest 16 bits of the incarnation; the heartbeat of another one is ignored
     """
 
     host: str
@@ -80,30 +81,31 @@
 
 
 class Gossip(NamedTuple):
-    """A message: the sender's own row first, then a few rows, and beats it heard of lately."""
+    """A message: the sender's own row, a few other rows, and recent heartbeats."""
 
     rows: tuple[Row, ...]
-    beats: tuple[Beat, ...] = ()
+    heartbeats: tuple[Heartbeat, ...] = ()
 
 
 class Known(NamedTuple):
-    """A row and when its heartbeat last rose, by the local clock."""
+    """A row and the local time at which its heartbeat last increased."""
 
     row: Row
     risen_at: float
 
 
 class Send(NamedTuple):
-    """An effect: send a message to a peer's address."""
+    """Effect: send a message to a peer's address."""
 
     address: str
     message: Gossip
 
 
 class Membership:
-    """What one entry host knows of the others.
+    """One entry host's view of the others.
 
-    :param seeds: peer addresses of the boot file, used until rows are known
+    :param seeds: peer addresses from the boot file, used while no rows are known and occasionally
+        afterwards
     """
 
     def __init__(self, me: Row, seeds: Iterable[str], rng: random.Random, now: float = 0.0) -> None:
@@ -111,32 +113,32 @@
         self._seeds = tuple(s for s in seeds if s != me.address)
         self._rng = rng
         self.by_host: dict[str, Known] = {}
-        self._passed_on: dict[str, int] = {}
-        self._introduced: dict[tuple[str, int, bool], int] = {}
-        self._started = now
+        self._heartbeat_sends: dict[str, int] = {}
+        self._row_sends: dict[tuple[str, int, bool], int] = {}
+        self._started_at = now
 
     def tick(self, now: float) -> list[Send]:
-        """Raise the own heartbeat and return the messages of this interval."""
+        """Increment the own heartbeat and return the messages to send in this interval."""
         self.me = self.me._replace(heartbeat=self.me.heartbeat + 1)
-        self._forget(now)
-        targets = self._targets(now)
-        message = Gossip((self.me, *self._some_rows()), self._fresh_beats())
-        return [Send(address, message) for address in targets]
+        self._drop_silent_hosts(now)
+        addresses = self._pick_addresses(now)
+        message = Gossip((self.me, *self._pick_rows()), self._pick_heartbeats())
+        return [Send(address, message) for address in addresses]
 
     def receive(self, now: float, message: Gossip) -> list[Row]:
-        """Take in a message; return the rows that were new or came back."""
-        news = []
+        """Merge a peer's message; return the rows of hosts that are new or live again."""
+        now_live = []
         for row in message.rows:
             if row.host == self.me.host:
                 self._refute(row)
             elif self._take(now, row):
-                news.append(row)
-        for beat in message.beats:
-            self._take_beat(now, beat)
-        return news
+                now_live.append(row)
+        for heartbeat in message.heartbeats:
+            self._apply_heartbeat(now, heartbeat)
+        return now_live
 
     def leave(self) -> list[Send]:
-        """Return the goodbye messages, to more peers than usual since they are the last."""
+        """Return the leave messages, for more peers than usual because they are the last."""
         self.me = self.me._replace(left=True, heartbeat=self.me.heartbeat + 1)
         message = Gossip((self.me,))
         addresses = [k.row.address for k in self.by_host.values() if not k.row.left]
@@ -144,24 +146,24 @@
         return [Send(address, message) for address in addresses[: 4 * FANOUT]]
 
     def state(self, host: str, now: float) -> PeerState:
-        """Return how a peer is seen at ``now``."""
+        """Return the state of a peer at ``now``."""
         known = self.by_host.get(host)
         if known is None or known.row.left:
             return PeerState.LEFT
-        limit = self.suspect_after() if self._is_near(known.row) else FAR_SUSPECT_AFTER
+        limit = self.suspect_after() if self._is_local(known.row) else REMOTE_SUSPECT_AFTER
         return PeerState.LIVE if now - known.risen_at <= limit else PeerState.SUSPECT
 
     def suspect_after(self) -> float:
-        """Return the seconds of silence after which a host of this data centre is suspected.
+        """Return the seconds without a heartbeat until a host of this data centre is suspected.
 
-        A message holds a bounded number of beats, so they take longer to go round in a large data
-        centre. Suspected too early, live hosts would lose their domains to others for nothing.
+        A message holds a bounded number of heartbeats, so they spread more slowly in a large data
+        centre. If suspected too early, live hosts would needlessly lose their domains to others.
         """
-        near = sum(1 for k in self.by_host.values() if self._is_near(k.row))
-        return SUSPECT_AFTER * max(1.0, (near + 1) / QUICK_SIZE)
+        local = sum(1 for k in self.by_host.values() if self._is_local(k.row))
+        return SUSPECT_AFTER * max(1.0, (local + 1) / BASE_TIMEOUT_HOSTS)
 
     def live(self, now: float, data_centre: str | None = None) -> dict[str, Row]:
-        """Return the live entry hosts by name, this one included unless it left."""
+        """Return the live entry hosts by name, including this one unless it left."""
         rows = {h: k.row for h, k in self.by_host.items() if self.state(h, now) == PeerState.LIVE}
         if not self.me.left:
             rows[self.me.host] = self.me
@@ -170,11 +172,11 @@
         return {h: r for h, r in rows.items() if r.data_centre == data_centre}
 
     def settled(self, now: float) -> bool:
-        """Tell whether enough time has passed since the start to have heard of the others."""
-        return now - self._started > 2 * GOSSIP_INTERVAL + 0.5
+        """Return whether enough time has passed since the start to know the other hosts."""
+        return now - self._started_at > 2 * GOSSIP_INTERVAL + 0.5
 
     def _refute(self, row: Row) -> None:
-        """Outlive rumours about an earlier life of this host, or of its leaving."""
+        """Raise the own incarnation above a row that claims a later one or that this host left."""
         newer = row.incarnation > self.me.incarnation
         if newer or (row.incarnation == self.me.incarnation and row.left and not self.me.left):
             self.me = self.me._replace(incarnation=row.incarnation + 1)
@@ -182,78 +184,87 @@
     def _take(self, now: float, row: Row) -> bool:
         known = self.by_host.get(row.host)
         if known is None:
-            if not self._has_room(row):
+            if not self._may_store(row):
                 return False
             self.by_host[row.host] = Known(row, now)
             return not row.left
         old = (known.row.incarnation, known.row.left, known.row.heartbeat)
-        # "Left" outranks heartbeats of the same incarnation: rumours of an older heartbeat that
-        # still go round would otherwise bring a host back that said goodbye.
+        # "Left" takes precedence over heartbeats of the same incarnation. Otherwise a heartbeat
+        # sent before the host left, and still being gossiped, would mark the host as live again.
         if (row.incarnation, row.left, row.heartbeat) <= old:
             return False
-        was_live = now - known.risen_at <= SUSPECT_AFTER and not known.row.left
+        was_known_live = now - known.risen_at <= SUSPECT_AFTER and not known.row.left
         self.by_host[row.host] = Known(row, now)
-        return not was_live and not row.left
-
-    def _take_beat(self, now: float, beat: Beat) -> None:
-        known = self.by_host.get(beat.host)
-        if known is None or known.row.left or known.row.incarnation & TAG_MASK != beat.tag:
+        return not was_known_live and not row.left
+
+    def _apply_heartbeat(self, now: float, received: Heartbeat) -> None:
+        known = self.by_host.get(received.host)
+        if (
+            known is None
+            or known.row.left
+            or known.row.incarnation & INCARNATION_TAG_MASK != received.tag
+        ):
             return
-        if beat.heartbeat > known.row.heartbeat:
-            self._passed_on[beat.host] = 0
-            self.by_host[beat.host] = Known(known.row._replace(heartbeat=beat.heartbeat), now)
+        if received.heartbeat > known.row.heartbeat:
+            self._heartbeat_sends[received.host] = 0
+            self.by_host[received.host] = Known(
+                known.row._replace(heartbeat=received.heartbeat), now
+            )
 
-    def _is_near(self, row: Row) -> bool:
+    def _is_local(self, row: Row) -> bool:
         return row.data_centre == self.me.data_centre
 
-    def _has_room(self, row: Row) -> bool:
-        if self._is_near(row):
+    def _may_store(self, row: Row) -> bool:
+        if self._is_local(row):
             return True
         known = sum(1 for k in self.by_host.values() if k.row.data_centre == row.data_centre)
-        return known < FAR_CONTACTS
+        return known < REMOTE_CONTACTS
 
-    def _forget(self, now: float) -> None:
-        gone = [h for h, k in self.by_host.items() if now - k.risen_at > FORGET_AFTER]
-        for host in gone:
+    def _drop_silent_hosts(self, now: float) -> None:
+        silent = [h for h, k in self.by_host.items() if now - k.risen_at > FORGET_AFTER]
+        for host in silent:
             del self.by_host[host]
-            self._passed_on.pop(host, None)
-        if gone:
-            kept = {k: n for k, n in self._introduced.items() if k[0] in self.by_host}
-            self._introduced = kept
+            self._heartbeat_sends.pop(host, None)
+        if silent:
+            remaining = {k: n for k, n in self._row_sends.items() if k[0] in self.by_host}
+            self._row_sends = remaining
 
-    def _targets(self, now: float) -> list[str]:
+    def _pick_addresses(self, now: float) -> list[str]:
         rows = [k.row for k in self.by_host.values() if not k.row.left]
-        near = [r.address for r in rows if self._is_near(r)]
-        far = [r.address for r in rows if not self._is_near(r)]
-        chosen = self._rng.sample(near, min(FANOUT, len(near)))
-        if far and self.me.heartbeat % FAR_EVERY == 0:
-            chosen.append(self._rng.choice(far))
-        # A seed now and then joins two halves that forgot each other during a long partition.
-        if self._seeds and (not rows or self.me.heartbeat % (2 * FAR_EVERY) == 0):
+        local = [r.address for r in rows if self._is_local(r)]
+        remote = [r.address for r in rows if not self._is_local(r)]
+        chosen = self._rng.sample(local, min(FANOUT, len(local)))
+        if remote and self.me.heartbeat % REMOTE_GOSSIP_INTERVALS == 0:
+            chosen.append(self._rng.choice(remote))
+        # An occasional message to a seed rejoins two sides that dropped each other's rows during a
+        # long partition.
+        if self._seeds and (not rows or self.me.heartbeat % (2 * REMOTE_GOSSIP_INTERVALS) == 0):
             chosen.append(self._rng.choice(self._seeds))
         return list(dict.fromkeys(chosen))
 
-    def _some_rows(self) -> list[Row]:
-        """Return the rows that were introduced least, so that a new host is soon known."""
+    def _pick_rows(self) -> list[Row]:
+        """Return the rows that were sent least often, so that new hosts are known quickly."""
         rows = [k.row for k in self.by_host.values()]
         self._rng.shuffle(rows)
-        rows.sort(key=lambda r: self._introduced.get((r.host, r.incarnation, r.left), 0))
+        rows.sort(key=lambda r: self._row_sends.get((r.host, r.incarnation, r.left), 0))
         for row in rows[:ROWS_PER_MESSAGE]:
             key = (row.host, row.incarnation, row.left)
-            self._introduced[key] = self._introduced.get(key, 0) + 1
+            self._row_sends[key] = self._row_sends.get(key, 0) + 1
         return rows[:ROWS_PER_MESSAGE]
 
-    def _fresh_beats(self) -> tuple[Beat, ...]:
-        """Return the beats that were passed on least since they rose, the newest first.
+    def _pick_heartbeats(self) -> tuple[Heartbeat, ...]:
+        """Return the heartbeats that were forwarded least since they increased, newest first.
 
-        Each beat is news to most hosts at first and to few after some rounds. Drawn at random,
-        most of a message would be old news, and hosts of a large data centre would look dead.
+        A heartbeat is new to most hosts at first and to few after some rounds. With a random
+        choice, most of a message would be outdated, and live hosts of a large data centre would
+        be suspected.
         """
         known = [k for h, k in self.by_host.items() if not k.row.left]
-        known.sort(key=lambda k: (self._passed_on.get(k.row.host, 0), -k.risen_at))
-        picked = known[:BEATS_PER_MESSAGE]
+        known.sort(key=lambda k: (self._heartbeat_sends.get(k.row.host, 0), -k.risen_at))
+        picked = known[:HEARTBEATS_PER_MESSAGE]
         for k in picked:
-            self._passed_on[k.row.host] = self._passed_on.get(k.row.host, 0) + 1
+            self._heartbeat_sends[k.row.host] = self._heartbeat_sends.get(k.row.host, 0) + 1
         return tuple(
-            Beat(k.row.host, k.row.incarnation & TAG_MASK, k.row.heartbeat) for k in picked
+            Heartbeat(k.row.host, k.row.incarnation & INCARNATION_TAG_MASK, k.row.heartbeat)
+            for k in picked
         )
--- a/src/oleanderhill/members/peers.py
+++ b/src/oleanderhill/members/peers.py
@@ -1,4 +1,4 @@
-"""Sockets between entry hosts: one listening socket, and a few connections to peers (pynng)."""
+"""Sockets between entry hosts: one listener, and a bounded number of connections (pynng)."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 from ..decisions import Decisions
 from ..kernel import Kernel, Task
-from .wire import SendTo, make_decoders, pack, unpack
+from .wire import SendTo, decode_message, make_decoders, pack
 
-SEND_BUFFER = 64
-"""Messages kept for a peer that is slow; beyond that they are dropped, as all are refreshed."""
+SEND_BUFFER_MESSAGES = 64
+"""Messages buffered for a slow peer; more are dropped, as all are sent again periodically."""
 
 MAX_CONNECTIONS = 64
-RECEIVE_LIMIT = 2 * 1024 * 1024
+MAX_MESSAGE_BYTES = 2 * 1024 * 1024
 
 
 class Peers(Task):
-    """Owns the sockets towards other entry hosts.
+    """Owns the sockets to other entry hosts.
 
     :param host: name of this entry host
     :param address: ``ip:port`` on which it listens
-    :param incarnation: told to peers, so that they can tell one start from the next
-    :param destination_by_type: names the task that takes a type of message
+    :param incarnation: sent to peers, so that they can detect a restart
+    :param destination_by_type: name of the task that handles each type of message
     """
 
     name = "peers"
@@ -49,30 +49,30 @@
         self._destination_by_type = destination_by_type
         self._decoders = make_decoders(destination_by_type)
         self._decisions = decisions
-        self._listener = pynng.Pull0(recv_max_size=RECEIVE_LIMIT)
-        self._by_address: dict[str, pynng.Push0] = {}
+        self._listener = pynng.Pull0(recv_max_size=MAX_MESSAGE_BYTES)
+        self._socket_by_address: dict[str, pynng.Push0] = {}
         self.bytes_sent = 0
         self.bytes_received = 0
         self.messages_sent = 0
 
     async def start(self) -> None:
-        """Listen, and start to receive."""
+        """Listen and start to receive."""
         self._listener.listen(f"tcp://{self._address}")
         await super().start()
         self.spawn(self._receive())
 
     async def stop(self) -> None:
-        """Send what is queued, then close all sockets."""
+        """Send the queued messages, then close all sockets."""
         while not self._inbox.empty():
             self.dispatch(self._inbox.get_nowait())
         await asyncio.sleep(0.05)
         await super().stop()
         self._listener.close()
-        for socket in self._by_address.values():
+        for socket in self._socket_by_address.values():
             socket.close()
 
     def send(self, address: str, body: Any) -> None:
-        """Send a message without waiting; it is dropped when the peer can't take it."""
+        """Send a message without blocking; drop it if the peer's send buffer is full."""
         if address == self._address:
             return
         data = pack(self._host, self._address, self._incarnation, time.monotonic(), body)
@@ -85,16 +85,18 @@
         self.messages_sent += 1
 
     def _socket(self, address: str) -> pynng.Push0:
-        socket = self._by_address.pop(address, None)
+        socket = self._socket_by_address.pop(address, None)
         if socket is None:
-            if len(self._by_address) >= MAX_CONNECTIONS:
-                oldest = next(iter(self._by_address))
-                self._by_address.pop(oldest).close()
+            if len(self._socket_by_address) >= MAX_CONNECTIONS:
+                oldest = next(iter(self._socket_by_address))
+                self._socket_by_address.pop(oldest).close()
             socket = pynng.Push0(
-                send_buffer_size=SEND_BUFFER, reconnect_time_min=200, reconnect_time_max=2000
+                send_buffer_size=SEND_BUFFER_MESSAGES,
+                reconnect_time_min=200,
+                reconnect_time_max=2000,
             )
             socket.dial(f"tcp://{address}", block=False)
-        self._by_address[address] = socket
+        self._socket_by_address[address] = socket
         return socket
 
     async def _receive(self) -> None:
@@ -105,7 +107,7 @@
 
     def _deliver(self, data: bytes) -> None:
         try:
-            received = unpack(data, time.monotonic(), self._decoders)
+            received = decode_message(data, time.monotonic(), self._decoders)
         except msgspec.DecodeError as error:
             self._decisions.note("peers", "drop", f"malformed message: {error}")
             return
--- a/src/oleanderhill/members/task.py
+++ b/src/oleanderhill/members/task.py
@@ -14,7 +14,7 @@
 
 
 class MembershipTask(Task):
-    """Owns what this entry host knows of the others."""
+    """Owns this entry host's view of the other entry hosts."""
 
     name = "membership"
     interval = GOSSIP_INTERVAL
@@ -25,30 +25,30 @@
         super().__init__(kernel)
         self.membership = Membership(me, seeds, rng, time.monotonic())
         self._decisions = decisions
-        self._was_live: set[str] = set()
+        self._previously_live: set[str] = set()
 
     def live(self, data_centre: str | None = None) -> dict[str, Row]:
-        """Return the live entry hosts by name, this one included."""
+        """Return the live entry hosts by name, including this one."""
         return self.membership.live(time.monotonic(), data_centre)
 
     def settled(self) -> bool:
-        """Tell whether the first view of the others is complete enough to act on."""
+        """Return whether the view of the others is complete enough after the start to act on it."""
         return self.membership.settled(time.monotonic())
 
     async def tick(self) -> None:
-        """Gossip."""
+        """Send this interval's gossip and log the changes of peer states."""
         now = time.monotonic()
         for send in self.membership.tick(now):
             self.kernel.post("peers", SendTo(send.address, send.message))
         live = set(self.membership.live(now))
-        for host in sorted(live - self._was_live):
+        for host in sorted(live - self._previously_live):
             self._decisions.note("member", host, "live")
-        for host in sorted(self._was_live - live):
+        for host in sorted(self._previously_live - live):
             self._decisions.note("member", host, self.membership.state(host, now).value)
-        self._was_live = live
+        self._previously_live = live
 
     def leave(self) -> None:
-        """Say goodbye to the peers."""
+        """Send peers the message that this host leaves."""
         for send in self.membership.leave():
             self.kernel.post("peers", SendTo(send.address, send.message))
 
--- a/src/oleanderhill/members/wire.py
+++ b/src/oleanderhill/members/wire.py
@@ -1,7 +1,8 @@
-"""Messages between entry hosts on their way, and their codec.
+"""Wire format of the messages between entry hosts, and its codec.
 
-A message travels as MessagePack: an envelope with the sender and its clock, and the body as an
-array whose type is named. Which types travel is told to the codec, so that it depends on none.
+A message is encoded as compressed MessagePack: an envelope with the sender, its clock and the name
+of the body's type, and the body as an array. The caller passes the types of message to the codec,
+so that this module does not import them.
 """
 
 from __future__ import annotations
@@ -18,10 +19,11 @@
 
 
 class Envelope(NamedTuple):
-    """A message on its way.
+    """A message in its wire format.
 
-    :param incarnation: of the sender's process
-    :param stamp: the sender's monotonic clock when it sent the message, in seconds
+    :param kind: name of the type of ``body``
+    :param incarnation: incarnation of the sender's process
+    :param stamp: the sender's monotonic clock at the time of sending, in seconds
     """
 
     kind: str
@@ -33,7 +35,7 @@
 
 
 class SendTo(NamedTuple):
-    """Ask the peers task to send a message to an address."""
+    """Asks the peers task to send a message to an address."""
 
     address: str
     body: Any
@@ -44,19 +46,19 @@
 
 
 def make_decoders(kinds: Iterable[type]) -> Decoders:
-    """Return decoders of the types of message that travel, by the types' names."""
+    """Return a decoder for each type of message, by the name of the type."""
     return {kind.__name__: msgspec.msgpack.Decoder(kind) for kind in kinds}
 
 
 def pack(sender: str, address: str, incarnation: int, stamp: float, body: Any) -> bytes:
-    """Return a message as bytes."""
+    """Return the encoded and compressed message."""
     raw = msgspec.Raw(_ENCODER.encode(body))
     kind = type(body).__name__
     return shrink(_ENCODER.encode(Envelope(kind, sender, address, incarnation, stamp, raw)))
 
 
-def unpack(data: bytes, arrived: float, decoders: Decoders) -> Received | None:
-    """Return the message of some bytes, ``None`` for one of an unknown kind.
+def decode_message(data: bytes, arrived: float, decoders: Decoders) -> Received | None:
+    """Decode a message; return ``None`` if its type is unknown.
 
     :raises msgspec.DecodeError: if the bytes are malformed
     """
--- a/src/oleanderhill/settings/__init__.py
+++ b/src/oleanderhill/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings: their schema, their writes, the view in force."""
+"""Settings: schema, validation, replication between entry hosts, and the state in force."""
--- a/src/oleanderhill/settings/catalog.py
+++ b/src/oleanderhill/settings/catalog.py
@@ -1,7 +1,7 @@
-"""The operators' routes, services and client accounts, and how a request finds its own.
+"""The configured routes, services and client accounts, and the lookup of a request's route.
 
-A :class:`Catalog` is one version of the configuration, whole and immutable, so that a request is
-judged by one version from beginning to end.
+A :class:`Catalog` is one complete, immutable version of the configuration, so that a request is
+handled by the same version from start to end.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Repeatable(StrEnum):
-    """What may be repeated of a request."""
+    """Whether a route's requests may be sent again, and whether they are streams."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -21,22 +21,23 @@
 
 
 class Backend(NamedTuple):
-    """A service that takes a part of a route's requests, by weight."""
+    """A service that receives a share of a route's requests, proportional to its weight."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """A route.
+    """A host and path prefix, with the services and the limits for the requests that match.
 
-    :param timeout: seconds after which a request must have its final answer
-    :param goal: seconds within which an answer (of a stream: the first event) is on time
-    :param pause_goal: longest seconds between two events of a stream that is on time, 0 for none
+    :param timeout: seconds within which a request must be answered completely
+    :param goal: latency goal in seconds for the answer, or for the first event of a stream
+    :param pause_goal: goal in seconds for the longest gap between two events of a stream, 0 for
+        none
     :param priority: 0 is the most urgent
-    :param public: needs no API key
-    :param resumable: a stream may go on at another target
-    :param generates: its requests run in an engine and name a model
+    :param public: whether requests need no API key
+    :param resumable: whether a stream may be continued at another target
+    :param generates: whether its requests run in an engine and name a model
     """
 
     name: str
@@ -55,20 +56,20 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Tell whether a request whose outcome is unknown may be sent once more."""
+        """Return whether a request with an unknown outcome may be sent again."""
         if self.repeatable == Repeatable.STREAM:
             return self.resumable
         return self.repeatable == Repeatable.IDEMPOTENT
 
 
 class ModelShape(NamedTuple):
-    """A model as an engine service runs it.
+    """The size, load and timing of a model in an engine service.
 
-    :param hosts: hosts of one group
-    :param share: its part of the work, 0 to 1
-    :param pace: factor on all times of its groups
-    :param load_seconds: to load its weights from the weight store
-    :param staged_seconds: to take them from the host where they are staged
+    :param hosts: hosts in one group
+    :param share: its share of the service's work, 0 to 1
+    :param pace: factor by which all times of its groups are multiplied
+    :param load_seconds: time to load its weights from the weight store
+    :param staged_seconds: time to load its weights from the host on which they are staged
     """
 
     name: str
@@ -80,13 +81,15 @@
 
 
 class EngineTimes(NamedTuple):
-    """How long an engine's group takes, in seconds, before the pace of its model.
-
-    :param step: of a token step, ``step_per_writer`` more for each request that is writing and
-        ``step_per_context`` for each token of its context
-    :param steps: of a pass; each writer shows an event a pass
-    :param read: to read a token of a prompt
-    :param usual_prompt: tokens in the mean, ``usual_answer`` those written
+    """Timing of an engine's group in seconds, before the factor ``pace`` of its model.
+
+    :param step: base time of a decoding step
+    :param step_per_writer: added to a step for each request that is generating
+    :param step_per_context: added to a step for each context token of such a request
+    :param steps: steps in a pass; each generating request emits one event per pass
+    :param read: prefill time per token of a prompt
+    :param usual_prompt: mean number of prompt tokens
+    :param usual_answer: mean number of generated tokens
     """
 
     step: float
@@ -99,12 +102,12 @@
 
 
 class EngineShape(NamedTuple):
-    """What is known beforehand of the engines of a service.
+    """The configured capacity and timing of a service's engines.
 
-    :param batch: requests that a group runs at once
-    :param loads_per_second: loads that may begin in a second, over all hosts
-    :param loads_at_once: loads beyond which each takes longer
-    :param times: ``None`` where the configuration does not say
+    :param batch: requests that a group runs concurrently
+    :param loads_per_second: model loads that may start per second, over all hosts
+    :param loads_at_once: concurrent loads above which each load takes longer
+    :param times: ``None`` if the configuration does not give them
     """
 
     batch: int
@@ -115,7 +118,7 @@
 
 
 class Service(NamedTuple):
-    """A service with its targets' common facts; ``engine`` is ``None`` for a plain one."""
+    """A service and the settings its targets share; ``engine`` is ``None`` for a plain service."""
 
     name: str
     max_connections: int
@@ -123,7 +126,7 @@
 
 
 class Account(NamedTuple):
-    """A client account; its priority, if it has one, goes before the route's."""
+    """A client account; its priority, if set, overrides the route's."""
 
     name: str
     priority: int | None
@@ -132,7 +135,8 @@
 class Catalog(NamedTuple):
     """One version of the configuration.
 
-    :param max_body: bytes that a request's body may have
+    :param keyed: whether requests to routes that are not public need an API key
+    :param max_body: maximum size of a request body in bytes
     """
 
     version: int
@@ -143,7 +147,7 @@
     max_body: int
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix that begins the path, ``None`` for no route."""
+        """Return the route with the longest prefix that matches the path, or ``None``."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -158,7 +162,7 @@
     keyed: bool,
     max_body: int,
 ) -> Catalog:
-    """Return a catalog; routes of a host are ordered so that the longest prefix comes first."""
+    """Return a catalog, with the routes of each host ordered from longest to shortest prefix."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
@@ -170,7 +174,7 @@
 
 
 def pick_backend(route: Route, rng: random.Random) -> str:
-    """Return the service that takes this request, drawn by weight."""
+    """Return the service for a request, chosen at random by weight."""
     if len(route.backends) == 1:
         return route.backends[0].service
     weights = [b.weight for b in route.backends]
--- a/src/oleanderhill/settings/fleet.py
+++ b/src/oleanderhill/settings/fleet.py
@@ -1,8 +1,8 @@
-"""What the settings mean for one entry host: accounts, wanted groups, services and weights.
+"""The settings in the form that entry hosts use: accounts, requested groups and services.
 
-:func:`build` turns the subtrees in force into one immutable :class:`Fleet`. A subtree that does not
-pass the check (it was put into the store behind our back) is left out in favour of the last one
-that did, which the caller keeps.
+:func:`build` turns the subtrees in force into one immutable :class:`Fleet`. The caller passes only
+valid subtrees: if one in the store is invalid (it was written there directly, without validation),
+the caller keeps the last valid one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import xxhash
 
 from ..types import GroupSpec, WantedGroup
-from .checking import hosts_wanted
+from .checking import requested_hosts
 from .schema import FLEET_TEAM, FleetSettings, Group, PlainService, TeamSettings
 
 _View = TypeVar("_View")
@@ -25,7 +25,7 @@
 
 
 class AccountView(NamedTuple):
-    """A client account as the edge needs it. ``account`` is ``team/name``."""
+    """A client account in the form the edge uses. ``account`` is ``team/name``."""
 
     account: str
     team: str
@@ -36,18 +36,18 @@
 
 
 class OperatorView(NamedTuple):
-    """An operator and the subtrees it may change."""
+    """An operator and the subtrees that it may change."""
 
     name: str
     teams: frozenset[str]
 
     def may_change(self, team: str) -> bool:
-        """Tell whether this operator may change a subtree."""
+        """Return whether this operator may change the subtree of a team."""
         return "*" in self.teams or team in self.teams
 
 
-class Clipped(NamedTuple):
-    """A wish cut by the fleet's budget."""
+class ClippedRequest(NamedTuple):
+    """A team's request for hosts in a data centre that exceeds its budget."""
 
     team: str
     data_centre: str
@@ -56,7 +56,7 @@
 
 
 class Fleet(NamedTuple):
-    """The settings in force as one value."""
+    """The settings in force as one immutable value."""
 
     account_by_key: dict[str, AccountView] = {}
     operator_by_key: dict[str, OperatorView] = {}
@@ -64,19 +64,19 @@
     models_by_team: dict[str, frozenset[str]] = {}
     wanted_by_data_centre: dict[str, tuple[WantedGroup, ...]] = {}
     budgets: dict[str, dict[str, int]] = {}
-    clipped: tuple[Clipped, ...] = ()
+    clipped: tuple[ClippedRequest, ...] = ()
     exchange_rate: float = DEFAULT_EXCHANGE_RATE
     entry_hosts: int = DEFAULT_ENTRY_HOSTS
     domains_without_fencing: frozenset[str] = frozenset()
 
 
 def hash_of(key: str) -> str:
-    """Return the form in which settings hold a bearer key. Keys are random, so no salt is used."""
+    """Return the hash that settings store for a bearer key; keys are random, so it has no salt."""
     return "sha256:" + hashlib.sha256(key.encode()).hexdigest()
 
 
 def find_by_key(view_by_key: Mapping[str, _View], key: str) -> _View | None:
-    """Return the holder of a bearer key, comparing hashes in constant time."""
+    """Return the entry of a bearer key, or ``None``; hashes are compared in constant time."""
     hashed = hash_of(key)
     found = None
     for known, view in view_by_key.items():
@@ -86,11 +86,11 @@
 
 
 def build(tree_by_team: Mapping[str, FleetSettings | TeamSettings]) -> Fleet:
-    """Return the meaning of checked subtrees."""
+    """Return the fleet that valid subtrees describe."""
     shared = cast(FleetSettings, tree_by_team.get(FLEET_TEAM, {}))
     teams = {t: cast(TeamSettings, v) for t, v in tree_by_team.items() if t != FLEET_TEAM}
     budgets = {t: dict(b) for t, b in shared.get("host_budgets", {}).items()}
-    wanted, clipped = _wanted(teams, budgets)
+    wanted, clipped = _allocate_groups(teams, budgets)
     return Fleet(
         account_by_key=_accounts(teams),
         operator_by_key={
@@ -126,7 +126,7 @@
     return view_by_key
 
 
-def spec_of(team: str, name: str, group: Group, tree: TeamSettings) -> GroupSpec:
+def make_spec(team: str, name: str, group: Group, tree: TeamSettings) -> GroupSpec:
     """Return the specification of a team's group."""
     version = tree["models"][group["model"]]["versions"][group["version"]]
     return GroupSpec(
@@ -144,37 +144,39 @@
 def group_id(spec: GroupSpec, data_centre: str, slot: int) -> str:
     """Return the id of a replica, unique in the fleet.
 
-    The specification is part of it, so that a roll-out makes new ids, and the data centre, since
-    entry hosts see the groups of several.
+    It contains a hash of the specification, so that a roll-out creates new ids, and the data
+    centre, because entry hosts know the groups of several data centres.
     """
-    served = f"{spec.model}|{spec.version}|{spec.adapters}|{spec.hosts}"
-    return f"{spec.team}/{spec.name}@{xxhash.xxh32_hexdigest(served.encode())}#{data_centre}.{slot}"
+    spec_text = f"{spec.model}|{spec.version}|{spec.adapters}|{spec.hosts}"
+    return (
+        f"{spec.team}/{spec.name}@{xxhash.xxh32_hexdigest(spec_text.encode())}#{data_centre}.{slot}"
+    )
 
 
-def _wanted(
+def _allocate_groups(
     teams: Mapping[str, TeamSettings], budgets: Mapping[str, Mapping[str, int]]
-) -> tuple[dict[str, tuple[WantedGroup, ...]], tuple[Clipped, ...]]:
+) -> tuple[dict[str, tuple[WantedGroup, ...]], tuple[ClippedRequest, ...]]:
     found: dict[str, list[WantedGroup]] = {}
-    clipped: list[Clipped] = []
+    clipped: list[ClippedRequest] = []
     for team, tree in sorted(teams.items()):
-        left = dict(budgets.get(team, {}))
-        for data_centre, hosts in sorted(hosts_wanted(tree).items()):
-            if data_centre in left and hosts > left[data_centre]:
-                clipped.append(Clipped(team, data_centre, hosts, left[data_centre]))
+        remaining = dict(budgets.get(team, {}))
+        for data_centre, hosts in sorted(requested_hosts(tree).items()):
+            if data_centre in remaining and hosts > remaining[data_centre]:
+                clipped.append(ClippedRequest(team, data_centre, hosts, remaining[data_centre]))
         by_priority = sorted(
             tree.get("groups", {}).items(), key=lambda kv: (-kv[1].get("priority", 0), kv[0])
         )
         for name, group in by_priority:
-            spec = spec_of(team, name, group, tree)
+            spec = make_spec(team, name, group, tree)
             for data_centre, replicas in sorted(group["replicas"].items()):
                 for slot in range(replicas):
-                    # The budget is enforced here, where wishes become groups, and not only when
-                    # a subtree is put: two operators who change a wish and a budget at the same
-                    # moment both pass the check, and the sum must hold all the same.
-                    if left.get(data_centre, spec.hosts) < spec.hosts:
+                    # The budget is enforced here as well as on writes of a subtree: two operators
+                    # who concurrently raise a request and lower the budget both pass validation,
+                    # and the total must still stay within the budget.
+                    if remaining.get(data_centre, spec.hosts) < spec.hosts:
                         break
-                    if data_centre in left:
-                        left[data_centre] -= spec.hosts
+                    if data_centre in remaining:
+                        remaining[data_centre] -= spec.hosts
                     found.setdefault(data_centre, []).append(
                         WantedGroup(group_id(spec, data_centre, slot), spec)
                     )
--- a/src/oleanderhill/settings/messages.py
+++ b/src/oleanderhill/settings/messages.py
@@ -1,4 +1,4 @@
-"""What other tasks hear when settings or host list change."""
+"""Messages to other tasks about changes of the settings and the host list."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class FleetChanged(NamedTuple):
-    """The settings in force changed."""
+    """Sent when the settings in force change."""
 
     fleet: Fleet
 
 
 class HostsChanged(NamedTuple):
-    """The host list of this data centre changed."""
+    """Sent when the host list of this data centre changes."""
 
     hosts: tuple[HostEntry, ...]
--- a/src/oleanderhill/settings/relay.py
+++ b/src/oleanderhill/settings/relay.py
@@ -1,7 +1,7 @@
-"""The task that runs :mod:`.documents`: watches the store where it is this host's turn, and relays.
+"""The task that runs :mod:`.documents`: watches the store if assigned, and replicates to peers.
 
-It also carries out the write of a settings subtree, and turns the documents held into the
-:class:`~.fleet.Fleet` in force.
+It also writes settings subtrees to the store, and builds the :class:`~.fleet.Fleet` in force from
+the current documents.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 from .writes import SETTINGS_PREFIX, Change, Ended, SettingsInForce, SubtreeWrite, WriteState
 
 FANOUT = 2
-WRITE_PATIENCE = 10.0
-RETRY_AFTER = 0.3
-POLL_AFTER_FAILURE = 1.0
+WRITE_TIMEOUT = 10.0
+RETRY_DELAY = 0.3
+FAILED_READ_DELAY = 1.0
 BUILD_EVERY = 6.0
-"""Least seconds between two builds of the fleet's view; small against the 18 s that are allowed."""
+"""Minimum seconds between two builds of the fleet; a change must take effect within 18 s."""
 
-FLEET_LISTENERS = ("stewards", "planner", "router", "limits", "edge")
+FLEET_SUBSCRIBERS = ("stewards", "planner", "router", "limits", "edge")
 
 
-class _Head(msgspec.Struct):
+class _RevisionField(msgspec.Struct):
     revision: int
 
 
@@ -56,7 +56,8 @@
 class DocumentsTask(Task):
     """Owns the documents of this entry host.
 
-    :param data_centre: whose plan and host list are kept, beside all settings
+    :param data_centre: the data centre of which it stores the plan and host list, in addition to
+        all settings
     """
 
     name = "documents"
@@ -83,20 +84,20 @@
         self.in_force = SettingsInForce()
         self.fleet = Fleet()
         self.loaded = False
-        self._unbuilt = False
+        self._build_pending = False
         self._built_at = float("-inf")
         self.store_ok_at = 0.0
 
     async def start(self) -> None:
-        """Start to watch and relay."""
+        """Start to watch the store and to replicate documents."""
         await super().start()
         for prefix in (SETTINGS_PREFIX, plan_key(self._data_centre)):
-            self.spawn(self._watch(prefix))
+            self.spawn(self._watch_store(prefix))
         self.spawn(self._watch_hosts())
 
     async def tick(self) -> None:
-        """Tell a peer what is held; it asks for what it lacks."""
-        self._build()
+        """Send a digest to a random peer, which requests the documents it lacks."""
+        self._build_if_due()
         members = self.kernel.find("membership", MembershipTask).live()
         others = [r for h, r in members.items() if h != self._host]
         if not others:
@@ -106,21 +107,21 @@
         self.kernel.post("peers", SendTo(row.address, self.documents.digest(scope)))
 
     def offer(self, document: Document, source: str) -> None:
-        """Take a document if it is newer, act on it and tell some peers that there is one."""
+        """Store and apply a document if it is newer, and announce it to a few peers."""
         now = time.time()
         if not self.documents.offer(document, now):
             return
         self._apply(document, source, now)
         notice = Notice({document.key: document.revision})
-        for address in self._some_peers(FANOUT):
+        for address in self._sample_peers(FANOUT):
             self.kernel.post("peers", SendTo(address, notice))
 
     async def write_subtree(self, team: str, tree: bytes, by: str, base: int | None) -> Ended:
-        """Write a subtree and return how that ended, resolved wherever the store can be asked."""
+        """Write a subtree and return the outcome, unknown only while the store is unreachable."""
         key = SETTINGS_PREFIX + team
         change = Change(0, secrets.token_hex(8), by, time.time())
         write = SubtreeWrite(tree, change, base, partial(self.documents.revision, key))
-        deadline = time.monotonic() + WRITE_PATIENCE
+        deadline = time.monotonic() + WRITE_TIMEOUT
         effects = write.start()
         while True:
             effect = effects[0]
@@ -129,7 +130,7 @@
             if time.monotonic() > deadline:
                 effect = write.timeout()
                 break
-            effects = await self._carry_out(write, key, effect)
+            effects = await self._execute(write, key, effect)
         if effect.state == WriteState.ACCEPTED:
             self.offer(Document(key, effect.revision, effect.document), "own write")
         text = f"write by {by}: {effect.state.value}, revision {effect.revision}"
@@ -137,14 +138,14 @@
         return effect
 
     async def write_plan(self, revision: int, body: bytes) -> bool:
-        """Write the plan of this data centre if the store holds the revision before."""
+        """Write the plan of this data centre if the store has an older revision."""
         key = plan_key(self._data_centre)
         found = await self.store.read(key)
         if not is_successful(found):
             return False
         stored = found.unwrap()
-        held = _document(key, stored).revision if stored else 0
-        if held >= revision:
+        current = _document(key, stored).revision if stored else 0
+        if current >= revision:
             return False
         swapped = await self.store.swap(key, body, stored.modify_index if stored else 0)
         if not is_successful(swapped) or not swapped.unwrap():
@@ -159,14 +160,14 @@
     @receive.register
     def _(self, body: Digest, envelope: Received) -> None:
         if body.fingerprint == self.documents.fingerprint(body.scope):
-            self._became_loaded("peer holds the same")
+            self._mark_loaded("a peer has the same documents")
         for reply in self.documents.answer(body):
             self.kernel.post("peers", SendTo(envelope.address, reply))
 
     @receive.register
     def _(self, body: Notice, envelope: Received) -> None:
-        concerning = {k: r for k, r in body.revisions.items() if self._concerns_us(k)}
-        for reply in self.documents.noticed(Notice(concerning)):
+        relevant = {k: r for k, r in body.revisions.items() if self._is_relevant(k)}
+        for reply in self.documents.noticed(Notice(relevant)):
             self.kernel.post("peers", SendTo(envelope.address, reply))
 
     @receive.register
@@ -176,24 +177,24 @@
     @receive.register
     def _(self, body: Have, envelope: Received) -> None:
         for document in body.documents:
-            if self._concerns_us(document.key):
+            if self._is_relevant(document.key):
                 self.offer(document, envelope.sender)
 
-    def _concerns_us(self, key: str) -> bool:
-        mine = (plan_key(self._data_centre), hosts_key(self._data_centre))
-        return key.startswith(SETTINGS_PREFIX) or key in mine
+    def _is_relevant(self, key: str) -> bool:
+        local_keys = (plan_key(self._data_centre), hosts_key(self._data_centre))
+        return key.startswith(SETTINGS_PREFIX) or key in local_keys
 
-    def _some_peers(self, count: int) -> list[str]:
+    def _sample_peers(self, count: int) -> list[str]:
         members = self.kernel.find("membership", MembershipTask).live()
         rows = [r.address for h, r in members.items() if h != self._host]
         return self._rng.sample(rows, min(count, len(rows)))
 
-    def _became_loaded(self, why: str) -> None:
+    def _mark_loaded(self, reason: str) -> None:
         if not self.loaded and self.documents.under(SETTINGS_PREFIX):
             self.loaded = True
-            self._decisions.note("settings", self._host, f"settings complete: {why}")
+            self._decisions.note("settings", self._host, f"settings complete: {reason}")
 
-    async def _carry_out(
+    async def _execute(
         self, write: SubtreeWrite, key: str, effect: writes.Read | writes.Swap
     ) -> list[writes.WriteEffect]:
         if isinstance(effect, writes.Read):
@@ -201,34 +202,34 @@
             if is_successful(found):
                 stored = found.unwrap() or Stored(b"", 0)
                 return write.read(stored.value, stored.modify_index)
-            await asyncio.sleep(RETRY_AFTER)
+            await asyncio.sleep(RETRY_DELAY)
             return write.failed(False)
         swapped = await self.store.swap(key, effect.value, effect.modify_index)
         if is_successful(swapped):
             return write.swapped(swapped.unwrap())
-        await asyncio.sleep(RETRY_AFTER)
+        await asyncio.sleep(RETRY_DELAY)
         return write.failed(True)
 
-    async def _watch(self, prefix: str) -> None:
+    async def _watch_store(self, prefix: str) -> None:
         index = 0
         while True:
-            watches = is_watcher(self._host, self._data_centre, self._live_here())
+            watches = is_watcher(self._host, self._data_centre, self._live_local_hosts())
             if self.loaded and not watches:
                 await asyncio.sleep(1.0)
                 index = 0
                 continue
             found = await (self.store.watch(prefix, index) if index else self.store.list(prefix))
             if not is_successful(found):
-                await asyncio.sleep(POLL_AFTER_FAILURE)
+                await asyncio.sleep(FAILED_READ_DELAY)
                 index = 0
                 continue
-            index = self._learn(prefix, found.unwrap(), index)
-            await self._repair(prefix, found.unwrap())
+            index = self._apply_listing(prefix, found.unwrap(), index)
+            await self._repair_store(prefix, found.unwrap())
 
-    def _live_here(self) -> set[str]:
+    def _live_local_hosts(self) -> set[str]:
         return set(self.kernel.find("membership", MembershipTask).live(self._data_centre))
 
-    def _learn(self, prefix: str, listing: Listing, index: int) -> int:
+    def _apply_listing(self, prefix: str, listing: Listing, index: int) -> int:
         self.store_ok_at = time.monotonic()
         for key, stored in listing.by_key.items():
             try:
@@ -236,41 +237,41 @@
             except msgspec.DecodeError as error:
                 self._decisions.note("fault", key, f"malformed value in the store: {error}")
         if prefix == SETTINGS_PREFIX:
-            self._became_loaded("read from the store")
-        # An index that went back belongs to a store that was set back: start over from nothing.
+            self._mark_loaded("read from the store")
+        # The index decreases only if the store was restored from a backup: read it from scratch.
         return listing.store_index if listing.store_index >= index else 0
 
-    async def _repair(self, prefix: str, listing: Listing) -> None:
-        """Write back what the store holds in an older revision than is in force here."""
+    async def _repair_store(self, prefix: str, listing: Listing) -> None:
+        """Write documents to the store that are missing or older there than on this host."""
         stored = {k: _revision(v) for k, v in listing.by_key.items()}
         for document in to_write_back(self.documents.under(prefix), stored):
             found = listing.by_key.get(document.key)
             index = found.modify_index if found else 0
             done = await self.store.swap(document.key, document.body, index)
-            text = f"store was behind revision {document.revision}; written back: "
+            text = f"the store lacked revision {document.revision}; written back: "
             self._decisions.note("settings", document.key, text + str(done.value_or(False)))
 
     async def _watch_hosts(self) -> None:
         index = 0
         while True:
-            if index and not is_watcher(self._host, self._data_centre, self._live_here()):
+            if index and not is_watcher(self._host, self._data_centre, self._live_local_hosts()):
                 await asyncio.sleep(1.0)
                 continue
             found = await self._targets.hosts(self._data_centre, index)
             if not is_successful(found):
-                await asyncio.sleep(POLL_AFTER_FAILURE)
+                await asyncio.sleep(FAILED_READ_DELAY)
                 continue
             listing = found.unwrap()
             index = listing.list_index
-            self._learn_hosts(listing)
+            self._apply_host_list(listing)
 
-    def _learn_hosts(self, listing: HostList) -> None:
+    def _apply_host_list(self, listing: HostList) -> None:
         key = hosts_key(self._data_centre)
         body = msgspec.json.encode(listing.hosts)
-        held = self.documents.by_key.get(key)
-        if held is not None and held.body == body:
+        current = self.documents.by_key.get(key)
+        if current is not None and current.body == body:
             return
-        # The platform may count anew after a restart; what it says now still outranks the past.
+        # The platform's index may start over after a restart, but the revision must still increase.
         revision = max(listing.list_index, self.documents.revision(key) + 1)
         self.offer(Document(key, revision, body), "platform")
 
@@ -289,26 +290,26 @@
         team = document.key.removeprefix(SETTINGS_PREFIX)
         if not self.in_force.take(document, now):
             state = self.in_force.state_by_team[team]
-            text = f"revision {document.revision} is invalid, {state.revision} stays"
+            text = f"revision {document.revision} is invalid, {state.revision} stays in force"
             self._decisions.note("settings", team, text)
             return
         text = f"revision {document.revision} in force, from {source}"
         self._decisions.note("settings", team, text)
-        self._unbuilt = True
-        self._build()
+        self._build_pending = True
+        self._build_if_due()
 
-    def _build(self) -> None:
-        """Build the fleet's view from all subtrees, now or, while they change often, in a tick.
+    def _build_if_due(self) -> None:
+        """Build the fleet from all subtrees, at most once per :data:`BUILD_EVERY` seconds.
 
-        A build takes 3 us an entry of all subtrees; at 33,000 changes a day in a tree of 10,000
-        entries one for each change would take most of the processor time that control may use.
+        A build takes 3 us per entry of the subtrees. At 33,000 changes a day in a tree of 10,000
+        entries, one build per change would use most of the CPU time allotted to control.
         """
         now = time.monotonic()
-        if not self._unbuilt or now - self._built_at < BUILD_EVERY:
+        if not self._build_pending or now - self._built_at < BUILD_EVERY:
             return
-        self._unbuilt, self._built_at = False, now
+        self._build_pending, self._built_at = False, now
         self.fleet = build(self.in_force.tree_by_team)
-        for name in FLEET_LISTENERS:
+        for name in FLEET_SUBSCRIBERS:
             self.kernel.post(name, FleetChanged(self.fleet))
 
 
@@ -320,5 +321,5 @@
 
 
 def _document(key: str, stored: Stored) -> Document:
-    head = msgspec.json.decode(stored.value, type=_Head)
-    return Document(key, head.revision, stored.value)
+    header = msgspec.json.decode(stored.value, type=_RevisionField)
+    return Document(key, header.revision, stored.value)
--- a/src/oleanderhill/settings/schema.py
+++ b/src/oleanderhill/settings/schema.py
@@ -1,7 +1,7 @@
-"""Types of the settings: the boot file of a process and the operators' tree.
+"""Types of the settings: the boot file of a process and the settings tree.
 
-The tree has one subtree for the fleet and one for each team, each stored and changed as a whole.
-A JSON Schema for editors is made from these types by :func:`.checking.json_schema`.
+The tree has one subtree for the fleet and one for each team; each is stored and replaced as a
+whole. :func:`.checking.json_schema` generates a JSON Schema for editors from these types.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 FLEET_TEAM = "fleet"
-"""Name of the subtree that holds what the teams share."""
+"""Name of the subtree with the settings that all teams share."""
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]{7,15}:[0-9]{1,5}$")]
@@ -22,7 +22,7 @@
 
 
 class Listen(TypedDict):
-    """Addresses that an entry host listens on."""
+    """Addresses on which an entry host listens."""
 
     callers: Address
     operators: Address
@@ -30,7 +30,7 @@
 
 
 class Boot(TypedDict):
-    """Boot file of ``oleanderhill entry``: only what can't be learned from the platform."""
+    """Boot file of ``oleanderhill entry``: only what the platform does not provide."""
 
     host: Name
     data_centre: Name
@@ -43,18 +43,18 @@
 
 
 class Operator(TypedDict):
-    """An operator, and the subtrees that it may change; ``*`` stands for all."""
+    """An operator and the subtrees that it may change, ``*`` for all."""
 
     key_hash: KeyHash
     teams: list[str]
 
 
 class FleetSettings(TypedDict):
-    """What the teams share.
+    """Settings that all teams share.
 
-    ``exchange_rate`` is how many host-seconds stranded one group-second of downtime is worth.
-    ``host_budgets`` caps the hosts of a team in each data centre; it is applied where hosts are
-    given out, so no order of two operators' changes can get round it.
+    ``exchange_rate`` is the cost of one group-second of downtime in stranded host-seconds.
+    ``host_budgets`` limits the hosts of a team in each data centre; it is enforced when hosts are
+    allocated, so that no order of concurrent changes can exceed it.
     """
 
     exchange_rate: NotRequired[Rate]
@@ -71,14 +71,14 @@
 
 
 class Model(TypedDict):
-    """A model, its versions and adapters."""
+    """The versions and adapters of a model."""
 
     versions: dict[Name, Version]
     adapters: NotRequired[list[Name]]
 
 
 class Group(TypedDict):
-    """Serving groups of one kind: each replica is one group of ``hosts`` hosts."""
+    """Serving groups with the same specification: each replica is a group of ``hosts`` hosts."""
 
     model: Name
     version: Name
@@ -96,14 +96,14 @@
 
 
 class PlainService(TypedDict):
-    """A plain service. Calls to ``not_repeatable`` paths need an Idempotency-Key."""
+    """A plain service. Requests to ``not_repeatable`` paths need an Idempotency-Key."""
 
     targets: list[ServiceTarget]
     not_repeatable: NotRequired[list[str]]
 
 
 class Account(TypedDict):
-    """A client account and what it may use."""
+    """A client account and the models and services that it may use."""
 
     key_hashes: list[KeyHash]
     models: NotRequired[list[Name]]
@@ -113,7 +113,7 @@
 
 
 class TeamSettings(TypedDict):
-    """The subtree of one team."""
+    """The settings of one team."""
 
     models: NotRequired[dict[Name, Model]]
     groups: NotRequired[dict[Name, Group]]
--- a/src/oleanderhill/settings/writes.py
+++ b/src/oleanderhill/settings/writes.py
@@ -1,8 +1,8 @@
-"""The settings tree: the write of one subtree with a resolved outcome, and what is in force.
+"""Writes of settings subtrees with a definite outcome, and the settings in force.
 
-A stored subtree is an envelope around the tree with its revision, the write's id and the ids of the
-writes before it. A write whose answer was lost is found again by that id, so an operator is told
-*accepted* or *refused* whenever the store can be asked, and *unknown* only while it can't.
+A subtree is stored in an envelope with its revision and the ids of the latest writes. If the
+store's answer to a write is lost, the write is looked up by its id. The operator therefore gets
+*accepted* or *refused* whenever the store is reachable, and *unknown* only while it is not.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from .schema import FleetSettings, TeamSettings
 
 SETTINGS_PREFIX = "settings/"
-HISTORY_KEPT = 20
+MAX_HISTORY = 20
 
 
 class Change(NamedTuple):
-    """One accepted change, as kept in the envelope of those after it."""
+    """One accepted change, as recorded in the history of later envelopes."""
 
     revision: int
     write_id: str
@@ -34,8 +34,8 @@
 class Subtree(NamedTuple):
     """The stored envelope of a team's subtree.
 
-    :param tree: the subtree as JSON text, kept raw
-    :param history: the changes up to this one, newest first
+    :param tree: the subtree as unparsed JSON
+    :param history: the latest changes, this one included, newest first
     """
 
     revision: int
@@ -48,14 +48,14 @@
 
 
 class Swap(NamedTuple):
-    """Effect: write the envelope if the key is still at ``modify_index``."""
+    """Effect: write the envelope if the key still has ``modify_index`` (compare-and-swap)."""
 
     value: bytes
     modify_index: int
 
 
 class WriteState(StrEnum):
-    """How a write ended."""
+    """The outcome of a write."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -64,9 +64,10 @@
 
 
 class Ended(NamedTuple):
-    """Effect: the write ended.
+    """Effect: the write is complete.
 
-    :param revision: the one it made if accepted, else the one found
+    :param revision: the new revision if accepted, otherwise the one found in the store
+    :param document: the stored envelope if accepted
     """
 
     state: WriteState
@@ -78,81 +79,86 @@
 
 
 class SubtreeWrite:
-    """The write of one subtree: a pure state machine over the answers of the store.
+    """The write of one subtree, as a state machine without I/O driven by the store's answers.
 
-    :param base: the revision that the operator changed, ``None`` to overwrite any
-    :param known: returns the highest revision that this entry host has seen; asked when the write
-        is made, since the store may have been set back after the write began
+    :param base: the revision that the operator edited, ``None`` to overwrite any revision
+    :param highest_known: returns the highest revision that this entry host knows; called when the
+        swap is built, because the store may be restored from a backup after the write started
     """
 
     def __init__(
-        self, tree: bytes, change: Change, base: int | None, known: Callable[[], int]
+        self, tree: bytes, change: Change, base: int | None, highest_known: Callable[[], int]
     ) -> None:
         self._tree = msgspec.Raw(tree)
         self._change = change
         self._base = base
-        self._known = known
+        self._highest_known = highest_known
         self._value = b""
         self._revision = 0
-        self._index: int | None = None
-        self._maybe_landed = False
+        self._swap_index: int | None = None
+        self._maybe_applied = False
 
     def start(self) -> list[WriteEffect]:
         """Return the first effect."""
         return [Read()]
 
     def read(self, value: bytes, index: int) -> list[WriteEffect]:
-        """Take in the stored envelope; ``value`` is empty where there is none."""
+        """Process the stored envelope, empty if there is none, and return the next effects."""
         found = decode_subtree(value) if value else Subtree(0, msgspec.Raw(b"{}"), ())
-        mine = [c for c in found.history if c.write_id == self._change.write_id]
-        if mine:
-            return [Ended(WriteState.ACCEPTED, mine[0].revision, value)]
-        if self._maybe_landed:
-            if index == self._index:
-                # Not there yet, but the lost write may still be on its way. The same write at
-                # the same index settles it: either lands now, or the index has moved.
+        own_changes = [c for c in found.history if c.write_id == self._change.write_id]
+        if own_changes:
+            return [Ended(WriteState.ACCEPTED, own_changes[0].revision, value)]
+        if self._maybe_applied:
+            if index == self._swap_index:
+                # The write with the lost answer is not applied yet and may still be in transit.
+                # Repeating it at the same index resolves this: at most one of the two is
+                # applied, and the other fails because the index has changed.
                 return [Swap(self._value, index)]
-            # The index moved and our id is not in the history: it can't land any more.
+            # The index has changed and the id is not in the history: the write can't be applied
+            # any more.
             return [Ended(WriteState.REFUSED, found.revision)]
-        return self._write(found, index)
+        return self._make_swap(found, index)
 
     def swapped(self, done: bool) -> list[WriteEffect]:
-        """Take in the store's answer to the write."""
+        """Process the store's answer to a swap and return the next effects."""
         if done:
             return [Ended(WriteState.ACCEPTED, self._revision, self._value)]
-        if self._maybe_landed:
+        if self._maybe_applied:
             return [Read()]
         return [Ended(WriteState.REFUSED, self._revision)]
 
-    def failed(self, wrote: bool) -> list[WriteEffect]:
-        """Take in a failed call; the driver waits before it carries the effect out."""
-        if wrote:
-            self._maybe_landed = True
-        if not self._maybe_landed:
+    def failed(self, was_swap: bool) -> list[WriteEffect]:
+        """Process a failed store call; the caller waits before it executes the next effect.
+
+        :param was_swap: whether the call was a swap, which the store may have applied
+        """
+        if was_swap:
+            self._maybe_applied = True
+        if not self._maybe_applied:
             return [Ended(WriteState.STORE_DOWN, 0)]
         return [Read()]
 
     def timeout(self) -> Ended:
-        """Return how the write stands when the operator waits no longer."""
-        state = WriteState.UNKNOWN if self._maybe_landed else WriteState.STORE_DOWN
+        """Return the outcome to report if the write is abandoned now."""
+        state = WriteState.UNKNOWN if self._maybe_applied else WriteState.STORE_DOWN
         return Ended(state, 0)
 
-    def _write(self, found: Subtree, index: int) -> list[WriteEffect]:
-        # The store may have been set back to an older copy. The new revision must outrank what
-        # any entry host has in force, or it would be ignored as old news.
-        current = max(found.revision, self._known())
+    def _make_swap(self, found: Subtree, index: int) -> list[WriteEffect]:
+        # The store may have been restored from an older backup. Entry hosts ignore revisions that
+        # are not higher than the one they have in force, so the new one must exceed both.
+        current = max(found.revision, self._highest_known())
         if self._base is not None and self._base != current:
             return [Ended(WriteState.REFUSED, current)]
         self._revision = current + 1
         change = self._change._replace(revision=self._revision)
-        history = (change, *found.history)[:HISTORY_KEPT]
+        history = (change, *found.history)[:MAX_HISTORY]
         self._value = encode_subtree(Subtree(self._revision, self._tree, history))
-        self._index = index
+        self._swap_index = index
         return [Swap(self._value, index)]
 
 
 def encode_subtree(subtree: Subtree) -> bytes:
-    """Return an envelope as stored."""
+    """Return an envelope in its stored form."""
     return msgspec.json.encode(
         {
             "revision": subtree.revision,
@@ -176,7 +182,7 @@
 
 
 def decode_subtree(value: bytes) -> Subtree:
-    """Return the envelope of a stored value.
+    """Return the envelope that a stored value contains.
 
     :raises msgspec.DecodeError: if it is malformed
     """
@@ -185,10 +191,10 @@
     return Subtree(stored.revision, stored.tree, history)
 
 
-class InForce(NamedTuple):
-    """What is in force at an entry host for one subtree.
+class SubtreeState(NamedTuple):
+    """The revision of one subtree in force on an entry host, and the latest one received.
 
-    :param seen: highest revision heard of; above ``revision`` if that one is invalid
+    :param seen: highest revision received; higher than ``revision`` if it is invalid
     :param findings: why the highest revision is not in force
     """
 
@@ -203,30 +209,30 @@
 
     def __init__(self) -> None:
         self.tree_by_team: dict[str, FleetSettings | TeamSettings] = {}
-        self.state_by_team: dict[str, InForce] = {}
+        self.state_by_team: dict[str, SubtreeState] = {}
 
     def take(self, document: Document, now: float) -> bool:
-        """Take in a document that :class:`~.documents.Documents` found newer than the last.
+        """Apply a document that :class:`~.documents.Documents` accepted as newer.
 
-        Return whether the tree in force changed. An invalid one does not take effect and takes
-        nothing away: the last valid one stays.
+        Return whether the tree in force changed. If the new tree is invalid, the last valid one
+        stays in force.
         """
         team = document.key.removeprefix(SETTINGS_PREFIX)
-        held = self.state_by_team.get(team, InForce(0, 0, now))
+        previous = self.state_by_team.get(team, SubtreeState(0, 0, now))
         try:
             tree = check_subtree(team, bytes(decode_subtree(document.body).tree))
         except (SettingsInvalidError, msgspec.DecodeError) as error:
-            shown = error.show() if isinstance(error, SettingsInvalidError) else str(error)
-            findings = tuple(shown.splitlines())
-            self.state_by_team[team] = held._replace(seen=document.revision, findings=findings)
+            text = error.show() if isinstance(error, SettingsInvalidError) else str(error)
+            findings = tuple(text.splitlines())
+            self.state_by_team[team] = previous._replace(seen=document.revision, findings=findings)
             return False
         self.tree_by_team[team] = tree
-        self.state_by_team[team] = InForce(document.revision, document.revision, now)
+        self.state_by_team[team] = SubtreeState(document.revision, document.revision, now)
         return True
 
 
 def revisions_of(documents: Mapping[str, Document]) -> dict[str, Any]:
-    """Return revision by team of the settings documents among these."""
+    """Return the revision of each team's settings among these documents."""
     return {
         k.removeprefix(SETTINGS_PREFIX): d.revision
         for k, d in documents.items()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,7 +3,14 @@
 import random
 import unittest
 
-from oleanderhill.members.membership import SUSPECT_AFTER, Beat, Gossip, Membership, PeerState, Row
+from oleanderhill.members.membership import (
+    SUSPECT_AFTER,
+    Gossip,
+    Heartbeat,
+    Membership,
+    PeerState,
+    Row,
+)
 
 
 def member(name, seeds=("a", "b")):
@@ -40,7 +47,7 @@
         self.assertEqual(m.state("b", 9.0), PeerState.SUSPECT)
 
     def test_goodbye_outranks_rumours_of_heartbeats(self):
-        # A host says goodbye; a heartbeat that it sent before still goes round and arrives later.
+        # A host leaves; a heartbeat that it sent before is still being gossiped and arrives later.
         m = member("a")
         m.receive(0.0, Gossip((Row("b", "b", "dc", 1, 5, left=True),)))
         m.receive(0.1, Gossip((Row("b", "b", "dc", 1, 6),)))
@@ -58,7 +65,7 @@
         self.assertEqual(m.me.incarnation, 2)
 
     def test_one_way_link_does_not_hide_a_host(self):
-        # c hears a but a never hears c directly; b passes the news on.
+        # c receives from a, but a never receives from c directly; b forwards c's heartbeats.
         members = {n: member(n, ("a", "b", "c")) for n in ("a", "b", "c")}
         for second in range(12):
             talk(members, float(second), lambda x, y: (x, y) != ("c", "a"))
@@ -69,7 +76,7 @@
         for n in range(500):
             m.receive(0.0, Gossip((Row(f"x{n}", f"x{n}", "dc", 1, 1),)))
         message = m.tick(1.0)[0].message
-        self.assertLessEqual((len(message.rows), len(message.beats)), (5, 32))
+        self.assertLessEqual((len(message.rows), len(message.heartbeats)), (5, 32))
 
     def test_other_data_centres_are_known_by_a_few_contacts(self):
         m = member("a")
@@ -80,9 +87,9 @@
     def test_beat_of_an_earlier_life_proves_nothing(self):
         m = member("a")
         m.receive(0.0, Gossip((Row("b", "b", "dc", 7, 1),)))
-        m.receive(9.0, Gossip((), (Beat("b", 6, 50),)))
+        m.receive(9.0, Gossip((), (Heartbeat("b", 6, 50),)))
         self.assertEqual(m.state("b", 9.0), PeerState.SUSPECT)
-        m.receive(9.0, Gossip((), (Beat("b", 7, 50),)))
+        m.receive(9.0, Gossip((), (Heartbeat("b", 7, 50),)))
         self.assertEqual(m.state("b", 9.0), PeerState.LIVE)
 
     def test_many_hosts_of_a_data_centre_are_all_seen_as_live(self):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: checks, writes with lost answers, and what is in force."""
+"""Settings: validation, writes with lost answers, replication and the settings in force."""
 
 import json
 import unittest
@@ -71,14 +71,16 @@
                 check_subtree("yard", text)
 
     def test_budget_holds_whatever_the_order_of_two_operators_changes(self):
-        # One operator raises a wish while another lowers the budget; both were accepted. What
-        # is given out stays within the budget in force, and the cut is shown.
+        # One operator raises a request for hosts while another lowers the budget, and both
+        # changes are accepted. The allocation must stay within the budget in force, and the
+        # clipped request must be reported.
         built = fleet.build({"yard": YARD, "fleet": {"host_budgets": {"yard": {"hall": 4}}}})
         self.assertEqual(len(built.wanted_by_data_centre["hall"]), 1)
         self.assertEqual(built.clipped[0].budget, 4)
 
     def test_groups_of_two_data_centres_never_share_an_id(self):
-        # Found under load: entry hosts took the groups of three data centres for one another.
+        # With ids that did not include the data centre, entry hosts confused the groups of
+        # different data centres.
         tree = json.loads(json.dumps(YARD))
         tree["groups"]["g"]["replicas"] = {"hall": 2, "yard": 2}
         wanted = fleet.build({"yard": tree}).wanted_by_data_centre
