--- a/dev/oleanderhill_dev/domain_world.py
+++ b/dev/oleanderhill_dev/domain_world.py
@@ -23,10 +23,10 @@
 from oleanderhill.domains.stewardship import decode_ledger
 from oleanderhill.kernel import Received
 from oleanderhill.members.membership import Gossip, Membership, Row
-from oleanderhill.routing.evidence import EvidenceBook
+from oleanderhill.routing.completeness import EVIDENCE_MAX_AGE
+from oleanderhill.routing.evidence import EvidenceTracker
 from oleanderhill.routing.messages import DomainEvidence
 from oleanderhill.routing.router import Router
-from oleanderhill.routing.wholeness import EVIDENCE_MAX_AGE
 from oleanderhill.types import (
     EngineState,
     GroupSpec,
@@ -167,7 +167,7 @@
         rng = random.Random(f"{world.seed}/{name}/{life}")
         self.steward = DomainSteward(name, str(life), DOMAIN, world.policy, world.fencing)
         self.router = Router(CENTRE, rng)
-        self.book = EvidenceBook(self.router)
+        self.book = EvidenceTracker(self.router)
         row = Row(name, name, CENTRE, int(world.now * 1000), 0, life=str(life))
         self.membership = Membership(row, [n for n in world.names if n != name], rng, world.now)
         self.last_gossip = world.now
@@ -331,7 +331,7 @@
             steward.wanted = self.wanted
             live = node.membership.live(self.now)
             steward.life_by_live = {h: r.life for h, r in live.items()}
-            steward.owner_heard_at = node.book.heard_at_by_domain.get(DOMAIN, -1e9)
+            steward.owner_heard_at = node.book.received_at_by_domain.get(DOMAIN, -1e9)
             steward.settled = node.membership.settled(self.now)
             self._perform(node, steward.tick(self.now))
             if steward.owned:
--- a/dev/oleanderhill_dev/fuzz_endings.py
+++ b/dev/oleanderhill_dev/fuzz_endings.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from oleanderhill.routing.endings import ENOUGH, EndingBook, EndingNews
+from oleanderhill.routing.crashes import MIN_CRASHES, CrashTracker, EndingNews
 
 STEP = 0.02
 SECONDS = 40.0
@@ -65,7 +65,7 @@
     ) -> None:
         self._rng = random.Random(seed)
         self._rows = rows
-        self._books = [EndingBook() for _ in range(hosts)]
+        self._books = [CrashTracker() for _ in range(hosts)]
         self._up_since = [-SETTLED] * hosts
         self._life = dict.fromkeys(range(targets), 0)
         self._down_until = dict.fromkeys(range(targets), 0.0)
@@ -129,7 +129,7 @@
             return
         load = Counter(r.target for r in self._runs)
         least = min(left, key=lambda t: (load[t], self._rng.random()))
-        target = self._rng.choice(left) if book.suspicion(identity) else least
+        target = self._rng.choice(left) if book.loss_count(identity) else least
         seconds = ENDS_AFTER if identity in self._culprits else RUNS
         known = self._third_at.get(identity, float("inf"))
         if self._now > max(known, self._up_since[host]) + SETTLED:
@@ -150,7 +150,7 @@
             self._take(quarantined)
         for run in self._runs:
             if run.identity not in self._culprits:
-                self._books[run.host].lives(self._life_of(run.target), self._now)
+                self._books[run.host].record_sign_of_life(self._life_of(run.target), self._now)
 
     def _end(self, target: int) -> None:
         """Let a target end, and everything in flight be lost."""
@@ -161,7 +161,7 @@
         self._down_until[target] = self._now + BACK_AFTER
         for culprit in {r.identity for r in lost} & set(self._culprits):
             self.found.ended[culprit] += 1
-            if self.found.ended[culprit] == ENOUGH:
+            if self.found.ended[culprit] == MIN_CRASHES:
                 self._third_at[culprit] = self._now
         for run in lost:
             self._lose(run, life)
@@ -185,12 +185,12 @@
     def _look(self, host: int, target: int, life: str) -> Callable[[float], None]:
         def look(now: float) -> None:
             if self._life_of(target) == life:
-                self._books[host].lives(life, now, asked=True)
+                self._books[host].record_sign_of_life(life, now, asked=True)
 
         return look
 
     def _over(self, host: int, life: str) -> None:
-        self._take(self._books[host].over(life, self._now))
+        self._take(self._books[host].confirm_ended(life, self._now))
 
     def _take(self, quarantined: list[str]) -> None:
         self.found.quarantined.update(quarantined)
@@ -212,7 +212,7 @@
                     self._at(self._now + 0.06, self._look(run.host, target, self._life_of(target)))
         if rng.random() < 0.05 * STEP:
             host = rng.randrange(len(self._books))
-            self._books[host] = EndingBook()
+            self._books[host] = CrashTracker()
             self._up_since[host] = self._now
             self._runs = [r for r in self._runs if r.host != host]
         for book in self._books:
@@ -220,13 +220,13 @@
 
     def _gossip(self, again: bool) -> None:
         for sender, book in enumerate(self._books):
-            for part in book.news(str(sender), self._now, again):
+            for part in book.pending_updates(str(sender), self._now, again):
                 for host in range(len(self._books)):
                     if host != sender and self._rng.random() < 0.9:
                         self._at(self._now + STEP, lambda now, h=host, p=part: self._hear(h, p))  # type: ignore[misc]
 
     def _hear(self, host: int, news: EndingNews) -> None:
-        self._take(self._books[host].hear(news, self._now))
+        self._take(self._books[host].apply_peer_update(news, self._now))
 
 
 def broken(found: Found) -> list[str]:
--- a/dev/oleanderhill_dev/fuzz_limits.py
+++ b/dev/oleanderhill_dev/fuzz_limits.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from oleanderhill.routing.target_limits import LEAST_RATE, Asked, LimitNews, TargetLimits
+from oleanderhill.routing.target_limits import MIN_RATE, CallKind, LimitUpdate, TargetLimits
 
 STEP = 0.02
 SECONDS = 60.0
@@ -174,9 +174,9 @@
         for host, account in enumerate(self._accounts):
             if not self._up(host):
                 continue
-            in_touch = self._now - self._heard_at[host] < SILENT_AFTER
-            account.reach(self._views[host], in_touch, self._now)
-            news = account.news(self._now)
+            has_peers = self._now - self._heard_at[host] < SILENT_AFTER
+            account.update_hosts(self._views[host], has_peers, self._now)
+            news = account.pending_updates(self._now)
             for other in range(len(self._accounts)):
                 apart = self._now < max(self._cut_until[host], self._cut_until[other])
                 if other == host or apart or self._rng.random() < 0.1:
@@ -186,10 +186,10 @@
                 if news:
                     self._do_later(self._rng.uniform(0.0, 0.15), partial(self._hear, other, news))
 
-    def _hear(self, host: int, news: Sequence[LimitNews]) -> None:
+    def _hear(self, host: int, news: Sequence[LimitUpdate]) -> None:
         if self._up(host):
             for part in news:
-                self._accounts[host].hear(part, lambda life: True, self._now)
+                self._accounts[host].apply_peer_update(part, lambda life: True, self._now)
 
     def _ask(self) -> None:
         if self._lull[0] <= self._now < self._lull[1]:
@@ -224,7 +224,7 @@
             return
         if said is not None and self._told_at[int(life)] is None:
             self._told_at[int(life)] = self._now
-        account.answered(life, said, Asked.REQUEST, sent, self._now)
+        account.answered(life, said, CallKind.REQUEST, sent, self._now)
 
     # What the oracle makes of it
 
@@ -282,7 +282,7 @@
 
 def _asked_within(rate: float | None) -> float:
     """Return the seconds within which a target must have been asked again at a rate."""
-    return 3.0 if rate is None else 3.0 + 2 / max(rate, LEAST_RATE)
+    return 3.0 if rate is None else 3.0 + 2 / max(rate, MIN_RATE)
 
 
 def broken(found: Found) -> bool:
--- a/dev/oleanderhill_dev/model/policies.py
+++ b/dev/oleanderhill_dev/model/policies.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import NamedTuple, Protocol
 
-from oleanderhill.serving.placing import Candidate, LoadBook
-from oleanderhill.serving.standing import ROOM_AT_ENGINE, Room, Standing
+from oleanderhill.serving.admission_class import ENGINE_QUEUE_LIMITS, AdmissionClass, QueueLimit
+from oleanderhill.serving.placement import Candidate, LoadTracker
 
 
 class Ask(NamedTuple):
@@ -16,7 +16,7 @@
     :param on_time_until: time until which its first event is on time
     """
 
-    standing: Standing
+    standing: AdmissionClass
     tried: Collection[str]
     on_time_until: float
 
@@ -28,7 +28,7 @@
     hears_backoffs: bool
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self, book: LoadTracker, candidates: Sequence[Candidate], ask: Ask, now: float
     ) -> Candidate | None:
         """Return the group that takes a request, ``None`` to refuse it."""
 
@@ -46,13 +46,13 @@
     """The shipped decisions."""
 
     name = "shipped"
-    room_by_standing = ROOM_AT_ENGINE
+    room_by_standing = ENGINE_QUEUE_LIMITS
     hears_backoffs = True
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self, book: LoadTracker, candidates: Sequence[Candidate], ask: Ask, now: float
     ) -> Candidate | None:
-        return book.choose(candidates, ask.tried, now, self.room_by_standing[ask.standing].places)
+        return book.choose(candidates, ask.tried, now, self.room_by_standing[ask.standing].max_load)
 
     def hold_until(self, ask: Ask) -> float:
         return 0.0
@@ -69,9 +69,9 @@
 
     name = "long queue for returned"
     room_by_standing = {
-        Standing.BEGUN: Room(1.8, 0),
-        Standing.FRESH: Room(1.2, 0),
-        Standing.LATE: Room(1.8, 0),
+        AdmissionClass.BEGUN: QueueLimit(1.8, 0),
+        AdmissionClass.FRESH: QueueLimit(1.2, 0),
+        AdmissionClass.LATE: QueueLimit(1.8, 0),
     }
 
 
@@ -79,7 +79,7 @@
     """A queue of two for all, in the order of coming."""
 
     name = "queue of two for all"
-    room_by_standing = dict.fromkeys(Standing, Room(1.2, 0))
+    room_by_standing = dict.fromkeys(AdmissionClass, QueueLimit(1.2, 0))
 
 
 class HeldForAPlace(Shipped):
@@ -89,7 +89,7 @@
     SHORTEST = 0.12
 
     def hold_until(self, ask: Ask) -> float:
-        return ask.on_time_until - self.SHORTEST if ask.standing == Standing.FRESH else 0.0
+        return ask.on_time_until - self.SHORTEST if ask.standing == AdmissionClass.FRESH else 0.0
 
 
 class LimitsUnheard(Shipped):
@@ -98,7 +98,7 @@
     name = "limits unheard"
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self, book: LoadTracker, candidates: Sequence[Candidate], ask: Ask, now: float
     ) -> Candidate | None:
         for candidate in candidates:
             book.limits.forget(candidate.target)
@@ -118,7 +118,7 @@
     name = "no queue"
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self, book: LoadTracker, candidates: Sequence[Candidate], ask: Ask, now: float
     ) -> Candidate | None:
         return _least_busy(book, candidates, ask, now, lambda c: c.host.slots)
 
@@ -129,7 +129,7 @@
     name = "queue without bound"
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self, book: LoadTracker, candidates: Sequence[Candidate], ask: Ask, now: float
     ) -> Candidate | None:
         return _least_busy(book, candidates, ask, now, lambda c: 10**9)
 
@@ -154,7 +154,7 @@
         self._limit_by_target: dict[str, float] = {}
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self, book: LoadTracker, candidates: Sequence[Candidate], ask: Ask, now: float
     ) -> Candidate | None:
         limits = self._limit_by_target
         return _least_busy(
@@ -186,7 +186,7 @@
 
 
 def _least_busy(
-    book: LoadBook,
+    book: LoadTracker,
     candidates: Sequence[Candidate],
     ask: Ask,
     now: float,
--- a/dev/oleanderhill_dev/model/site.py
+++ b/dev/oleanderhill_dev/model/site.py
@@ -9,12 +9,12 @@
 from typing import NamedTuple
 
 from oleanderhill.groups.inventory import Instance, TargetHost
-from oleanderhill.routing.target_limits import Asked, TargetLimits
-from oleanderhill.serving.comeback import come_back
-from oleanderhill.serving.patience import stall_after
-from oleanderhill.serving.placing import Candidate, LoadBook
+from oleanderhill.routing.target_limits import CallKind, TargetLimits
+from oleanderhill.serving.admission_class import admission_class
+from oleanderhill.serving.placement import Candidate, LoadTracker
 from oleanderhill.serving.retries import SharedRetryBudget
-from oleanderhill.serving.standing import standing
+from oleanderhill.serving.retry_delay import retry_delay
+from oleanderhill.serving.stall_timeout import stall_timeout_for
 from oleanderhill.settings.catalog import Repeatable, Route
 
 from .clockwork import Clockwork
@@ -128,16 +128,16 @@
                 dict(book.own),
                 book.own_suspects(now),
                 book.own_progress(now),
-                book.own_turned_away(now),
+                book.own_rejections(now),
             )
-            host.book.limits.reach(names, True, now)
-            limits, backing_off = host.book.limits.news(now), book.own_backoffs(now)
+            host.book.limits.update_hosts(names, True, now)
+            limits, backing_off = host.book.limits.pending_updates(now), book.own_backoffs(now)
             for other in self.hosts:
                 if other is not host and self.rng.random() >= self.scenario.report_loss:
-                    other.book.hear(host.name, *news, now)
-                    other.book.hear_backoffs(backing_off, now)
+                    other.book.apply_peer_update(host.name, *news, now)
+                    other.book.apply_peer_backoffs(backing_off, now)
                     for part in limits:
-                        other.book.limits.hear(part, lambda life: True, now)
+                        other.book.limits.apply_peer_update(part, lambda life: True, now)
         if now < self.scenario.seconds + 10.0:
             self.clock.later(REPORT_EVERY, self._report)
 
@@ -148,7 +148,7 @@
     def __init__(self, site: Site, name: str) -> None:
         self.site = site
         self.name = name
-        self.book = LoadBook("here", random.Random(site.rng.random()), TargetLimits(name))
+        self.book = LoadTracker("here", random.Random(site.rng.random()), TargetLimits(name))
         s = site.scenario
         self.budget = SharedRetryBudget(s.retry_ratio, s.retry_slack, RETRY_WINDOW)
         self.budget.hosts = s.entry_hosts
@@ -268,7 +268,7 @@
         self.over = True
 
     def _ask(self) -> Ask:
-        stands = standing(self._returned, self._arrived, self._written > 0)
+        stands = admission_class(self._returned, self._arrived, self._written > 0)
         return Ask(stands, self._tried, self._caller.on_time_until)
 
     def _send(self) -> None:
@@ -285,7 +285,7 @@
             return
         self._target, self._arrived = found.target, self._arrived + 1
         self._tried.add(found.target)
-        self._host.book.limits.take(found.lives, now)
+        self._host.book.limits.take(found.incarnations, now)
         self._on_trial = self._host.book.backoffs.take(found.target)
         self._host.book.begin(found.target)
         left = self._caller.events - self._written
@@ -299,7 +299,9 @@
         self._heard = False
         group = site.group_by_name[found.target]
         site.clock.later(WAY, lambda: group.take(work))
-        site.clock.later(stall_after(self._route, self._written > 0), lambda: self._look(work))
+        site.clock.later(
+            stall_timeout_for(self._route, self._written > 0), lambda: self._look(work)
+        )
 
     def _refuse(self, candidates: Sequence[Candidate], now: float) -> None:
         self.over = True
@@ -307,10 +309,10 @@
             self._caller.cut()
             return
         if not self._arrived:
-            self._host.book.turn_away(self._caller.kind.model, now)
+            self._host.book.count_rejection(self._caller.kind.model, now)
         limited_for = self._host.book.limited_for(candidates, self._caller.kind.model, now)
         backoff_left = self._host.book.backoff_left(candidates, now)
-        after = come_back(bool(candidates), self._site.rng, limited_for, backoff_left)
+        after = retry_delay(bool(candidates), self._site.rng, limited_for, backoff_left)
         self._caller.refused(after)
 
     def _turned_away(self, backoff: float) -> None:
@@ -322,7 +324,7 @@
             return
         now, book, target = self._site.clock.now, self._host.book, self._target
         if backoff and self._site.policy.hears_backoffs:
-            book.backoffs.ask(target, backoff, now)
+            book.backoffs.extend(target, backoff, now)
         else:
             book.suspect(target, now)
         self._release()
@@ -336,10 +338,10 @@
         if not self._heard:
             self._heard = True
             if self._on_trial:
-                self._host.book.backoffs.trial_taken(target, now)
+                self._host.book.backoffs.trial_accepted(target, now)
             named = self._site.group_by_name[target].limit
             limits = self._host.book.limits
-            limits.answered(target, named, Asked.REQUEST, self._sent_at, now)
+            limits.answered(target, named, CallKind.REQUEST, self._sent_at, now)
         if not self._written:
             self._site.policy.first_event(target, now <= self._caller.on_time_until)
         self._written += 1
@@ -366,12 +368,12 @@
         if work is not self._work:
             return
         now, book = self._site.clock.now, self._host.book
-        stall = stall_after(self._route, self._written > 0)
+        stall = stall_timeout_for(self._route, self._written > 0)
         idle = now - self._progressed
         if idle < stall - 1e-9:
             self._site.clock.later(stall - idle, lambda: self._look(work))
             return
-        if book.goes_on(self._target, now, stall) or not self._may_move(now):
+        if book.recently_progressed(self._target, now, stall) or not self._may_move(now):
             self._site.clock.later(0.02, lambda: self._look(work))
             return
         book.suspect(self._target, now)
@@ -380,7 +382,7 @@
         self._send()
 
     def _may_move(self, now: float) -> bool:
-        if self._arrived >= self._route.max_attempts or self._host.budget.left(now) < 1.0:
+        if self._arrived >= self._route.max_attempts or self._host.budget.remaining(now) < 1.0:
             return False
         candidates = self._site.visible[self._caller.kind.model]
         book = self._host.book
--- a/dev/oleanderhill_dev/mutants.py
+++ b/dev/oleanderhill_dev/mutants.py
@@ -21,7 +21,7 @@
 from oleanderhill.limits import accounts as limits
 from oleanderhill.members import membership
 from oleanderhill.requests import attempts
-from oleanderhill.routing import evidence, skew, wholeness
+from oleanderhill.routing import completeness, evidence, skew
 from oleanderhill.routing import router as routing
 from oleanderhill.settings import documents
 from oleanderhill.settings import writes as settings
@@ -55,7 +55,7 @@
     requests = fuzzing(RequestsMachine, 60, 60)
     tree = fuzzing(SettingsMachine, 60, 50)
     return [
-        Mutant("boot id of a member", [(wholeness, "member_fault", _ignoring_boots)], domain),
+        Mutant("boot id of a member", [(completeness, "member_fault", _ignoring_boots)], domain),
         Mutant("age of evidence", [(routing.Router, "may_send", _may_send_old)], domain),
         Mutant("delay of a message", [(skew.ClockOffsets, "sent_at", _arrival)], domain),
         Mutant("settling of a sender's clock", [(skew, "SETTLE_SECONDS", 0.0)], domain),
@@ -73,7 +73,9 @@
         Mutant("leaving members close a group", [(steward, "state_of", _never_closing)], domain),
         Mutant("life of an owner", [(steward.DomainSteward, "_owner_acts", _named_acts)], domain),
         Mutant(
-            "rank of records by owner", [(evidence.EvidenceBook, "_keep", _keep_by_version)], _RANK
+            "rank of records by owner",
+            [(evidence.EvidenceTracker, "_store_records", _keep_by_version)],
+            _RANK,
         ),
         Mutant("orders mend other groups", [(placement, "MENDED_BY_ORDERS", frozenset())], domain),
         Mutant("rule of the ledger", [(ledger, "_put", _put_unchecked)], _LEDGER_RULE),
@@ -82,7 +84,7 @@
         Mutant("wait of a displaced owner", [(steward, "DISPLACED_WAIT", 0.0)], _DISPLACED),
         Mutant("older copy of the ledger", [(ledger, "age_of", lambda v: (0, 0))], _SET_BACK),
         Mutant("boot in a load order", [(orders, "_load", _load_any_boot)], _BOOT_ORDER),
-        Mutant("first claim holds", [(once.Journal, "_take", _last_claim_holds)], requests),
+        Mutant("first claim holds", [(once.Journal, "_apply_row", _last_claim_holds)], requests),
         Mutant("claim before sending", [(once.Journal, "claim", _granted_at_once)], requests),
         Mutant("release only if not run", [(once, "closing_row", _always_release)], requests),
         Mutant(
@@ -100,7 +102,7 @@
         Mutant("invalid subtree stays out", [(settings, "check_subtree", _unchecked)], _INVALID),
         Mutant("part of a cut-off fleet", [(limits.AccountLimits, "fleet", _One())], _LIMIT),
         Mutant("left outranks rumours", [(membership.Membership, "_take", _take_newer)], _LEFT),
-        Mutant("bound on ejections", [(routing, "EJECT_LIMIT", 1.0)], _EJECT),
+        Mutant("bound on ejections", [(routing, "MAX_EJECTED_FRACTION", 1.0)], _EJECT),
         Mutant("refused probe", [(hostwatch.HostWatch, "refused", _expect_nothing)], _REFUSED),
         Mutant("first round of probes", [(steward, "FIRST_ROUND", 0.0)], _FIRST_ROUND),
         Mutant("patience of the plan", [(planner, "patience", lambda rate: 0.0)], _PATIENCE),
@@ -130,7 +132,7 @@
 _LEFT = testing("test_membership.MembershipTest.test_goodbye_outranks_rumours_of_heartbeats")
 _EJECT = testing("test_routing.RouterTest.test_at_most_a_third_of_the_groups_is_ejected")
 _RANK = testing(
-    "test_routing.EvidenceBookTest."
+    "test_routing.EvidenceTrackerTest."
     "test_records_of_a_successor_outrank_those_of_an_owner_that_went_on_unsaved"
 )
 _REFUSED = testing("test_domain.DomainTest.test_death_that_is_seen_closes_the_group_at_once")
@@ -142,7 +144,7 @@
 
 # What stands in the place of a safeguard.
 
-_member_fault = wholeness.member_fault
+_member_fault = completeness.member_fault
 _router_put = routing.Router.may_send
 _state_of = evidence.state_of
 
@@ -176,7 +178,7 @@
 
 def _may_send_old(router: Any, group: str, epoch: int, now: float) -> bool:
     held = router.by_group.get(group)
-    return held is not None and _router_put(router, group, epoch, held.proven_at)
+    return held is not None and _router_put(router, group, epoch, held.verified_at)
 
 
 def _arrival(offsets: Any, sender: str, incarnation: int, stamp: float, now: float) -> float:
--- a/dev/oleanderhill_dev/policy_entry.py
+++ b/dev/oleanderhill_dev/policy_entry.py
@@ -17,23 +17,23 @@
 
 
 def _random(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
-    return routing._choice(router._rng.choice(roomy), "baseline random")
+    return routing._make_choice(router._rng.choice(roomy), "baseline random")
 
 
 def _round_robin(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
     ordered = sorted(roomy, key=lambda e: e.view.group)
-    return routing._choice(ordered[next(_turn) % len(ordered)], "baseline round robin")
+    return routing._make_choice(ordered[next(_turn) % len(ordered)], "baseline round robin")
 
 
 def _least_in_flight(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
     flying = router.in_flight_by_group
     best = min(roomy, key=lambda e: (flying.get(e.view.group, 0), router._rng.random()))
-    return routing._choice(best, "baseline least in flight")
+    return routing._make_choice(best, "baseline least in flight")
 
 
 def _reported(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
     best = min(roomy, key=lambda e: (e.view.running + e.view.waiting, e.view.group))
-    return routing._choice(best, "baseline reported load")
+    return routing._make_choice(best, "baseline reported load")
 
 
 BASELINES = {
--- a/dev/oleanderhill_dev/slopes.py
+++ b/dev/oleanderhill_dev/slopes.py
@@ -26,8 +26,8 @@
 from oleanderhill.limits.accounts import AccountLimits
 from oleanderhill.members.membership import Gossip, Membership, Row
 from oleanderhill.members.wire import pack
-from oleanderhill.routing.evidence import EvidenceBook
-from oleanderhill.routing.router import Router, Wanted
+from oleanderhill.routing.evidence import EvidenceTracker
+from oleanderhill.routing.router import Requirements, Router
 from oleanderhill.settings import documents
 from oleanderhill.settings import writes as settings
 from oleanderhill.settings.fleet import build, hash_of
@@ -225,10 +225,10 @@
     learn, choose, memory = [], [], []
     for groups in (50, 200, 1000, 5000):
         evidence = owner_of(groups).evidence("hall", 1000.0, True)
-        book = EvidenceBook(Router("hall", random.Random(1)))
+        book = EvidenceTracker(Router("hall", random.Random(1)))
         book.learn(evidence, 1000.0)
         learn.append((groups, microseconds(partial(book.learn, evidence, 1000.0), 2)))
-        wanted = Wanted(SPEC.model, prefix="a prompt")
+        wanted = Requirements(SPEC.model, prefix="a prompt")
         router = book.router
         choose.append((groups, microseconds(partial(router.choose, wanted, 1000.0), 2)))
         memory.append((groups, kilobytes(partial(_book, evidence))))
@@ -239,8 +239,8 @@
     }
 
 
-def _book(evidence: Any) -> EvidenceBook:
-    book = EvidenceBook(Router("hall", random.Random(1)))
+def _book(evidence: Any) -> EvidenceTracker:
+    book = EvidenceTracker(Router("hall", random.Random(1)))
     book.learn(evidence, 1000.0)
     return book
 
--- a/dev/oleanderhill_dev/users/mutants.py
+++ b/dev/oleanderhill_dev/users/mutants.py
@@ -5,7 +5,7 @@
 import secrets
 from typing import Any
 
-from oleanderhill.clients import currency, keyed, readings
+from oleanderhill.clients import freshness, keyed, store_reads
 from oleanderhill.groups import (
     composing,
     engine_hosts,
@@ -20,16 +20,16 @@
     spares,
 )
 from oleanderhill.platform import decoding, headers
-from oleanderhill.routing import endings, target_limits
+from oleanderhill.routing import crashes, target_limits
 from oleanderhill.serving import (
     admission,
+    admission_class,
     driver,
     gossip,
-    placing,
+    placement,
     quarantine,
     reports,
     retries,
-    standing,
 )
 from oleanderhill.serving.forwarding import Notice
 
@@ -39,7 +39,7 @@
 
 def mutants() -> list[Mutant]:
     """Return the mutants of this path."""
-    life = "test_lives.LifeTest"
+    life = "test_incarnations.LifeTest"
     form = "test_groups.FormingTest"
     return [
         Mutant(
@@ -54,7 +54,7 @@
         ),
         Mutant(
             "grace for entries that lapsed with the store",
-            [(inventory.Inventory, "doubt", lambda self, until: None)],
+            [(inventory.Inventory, "extend_grace", lambda self, until: None)],
             testing(
                 "test_groups.InventoryTest"
                 ".test_entries_that_lapsed_with_the_store_get_time_to_come_back"
@@ -63,7 +63,7 @@
         Mutant(
             "names that go into headers",
             [(decoding, "_NAME", _Anything())],
-            testing("test_lives.DecodingTest.test_what_names_no_host"),
+            testing("test_incarnations.DecodingTest.test_what_names_no_host"),
         ),
         Mutant(
             "own writes are told to those that read here",
@@ -72,7 +72,7 @@
         ),
         Mutant(
             "a host is free once it left",
-            [(forming.DomainKeeper, "_left", lambda self, now, host: True)],
+            [(forming.DomainKeeper, "_has_left", lambda self, now, host: True)],
             testing(f"{form}.test_no_host_is_ever_in_two_groups_whatever_happens"),
         ),
         Mutant(
@@ -82,7 +82,7 @@
         ),
         Mutant(
             "silence of all proves nothing",
-            [(forming, "REACHED_WITHIN", 1e9)],
+            [(forming, "REACHABLE_SECONDS", 1e9)],
             testing(f"{form}.test_silence_of_all_is_not_taken_for_loss"),
         ),
         Mutant(
@@ -100,14 +100,20 @@
         ),
         Mutant(
             "pause after a write that failed",
-            [(owner, "WRITE_AGAIN", 0.0)],
+            [(owner, "WRITE_RETRY_SECONDS", 0.0)],
             testing(
                 "test_users_site.FailureTest.test_store_that_refuses_is_not_pressed_with_plans"
             ),
         ),
         Mutant(
             "late requests leave places free",
-            [(standing, "ROOM_AT_ENGINE", dict.fromkeys(standing.Standing, _LONG_QUEUE))],
+            [
+                (
+                    admission_class,
+                    "ENGINE_QUEUE_LIMITS",
+                    dict.fromkeys(admission_class.AdmissionClass, _LONG_QUEUE),
+                )
+            ],
             testing(
                 "test_serving.StandingTest"
                 ".test_late_request_leaves_places_for_those_that_can_be_on_time"
@@ -115,7 +121,7 @@
         ),
         Mutant(
             "who uses a connection again did not come back",
-            [(admission.ReturningCallers, "came_back", _by_patience_alone)],
+            [(admission.RetryDetector, "is_retry", _by_patience_alone)],
             testing(
                 "test_serving.ReturningTest"
                 ".test_first_attempts_differ_in_patience_and_still_count_as_first"
@@ -123,17 +129,23 @@
         ),
         Mutant(
             "age of the proof that keys hold",
-            [(currency, "PROOF_MARGIN", -0.5)],
+            [(freshness, "FRESHNESS_MARGIN", -0.5)],
             testing("test_serving.CurrencyTest.test_proof_runs_out_before_the_bound"),
         ),
         Mutant(
             "a part of the slack for each host",
-            [(retries.SharedRetryBudget, "left", lambda self, now: 1e9)],
+            [(retries.SharedRetryBudget, "remaining", lambda self, now: 1e9)],
             testing("test_serving.RetryTest.test_shares_of_all_hosts_stay_under_the_bound"),
         ),
         Mutant(
             "progress that peers report",
-            [(placing.LoadBook, "goes_on", lambda self, target, now, within: False)],
+            [
+                (
+                    placement.LoadTracker,
+                    "recently_progressed",
+                    lambda self, target, now, within: False,
+                )
+            ],
             testing(
                 "test_serving.PlacingTest.test_target_that_sends_to_others_is_busy_and_not_stuck"
             ),
@@ -152,26 +164,30 @@
     return [
         Mutant(
             "what another explains says nothing",
-            [(endings, "ENOUGH", 1), (endings, "UNLIKELY", 0.0)],
+            [(crashes, "MIN_CRASHES", 1), (crashes, "MIN_LIKELIHOOD_RATIO", 0.0)],
             testing(
-                f"{ending}.test_who_moves_with_the_culprit_is_not_quarantined_and_does_not_save_it_for_long"
+                f"{ending}.test_companion_of_the_culprit_is_not_quarantined_and_only_delays_its_quarantine"
             ),
         ),
         Mutant(
             "chance of endings by themselves",
-            [(endings, "UNLIKELY", 0.0)],
-            testing(
-                f"{ending}.test_endings_in_rows_by_themselves_quarantine_nobody_who_moved_along"
-            ),
+            [(crashes, "MIN_LIKELIHOOD_RATIO", 0.0)],
+            testing(f"{ending}.test_independent_crashes_in_series_quarantine_no_innocent_request"),
         ),
         Mutant(
             "a lost connection is no ending",
-            [(endings.EndingBook, "lives", lambda self, life, now, asked=False: True)],
+            [
+                (
+                    crashes.CrashTracker,
+                    "record_sign_of_life",
+                    lambda self, life, now, asked=False: True,
+                )
+            ],
             testing(f"{ending}.test_lost_connection_to_a_life_that_goes_on_is_no_ending"),
         ),
         Mutant(
             "a whole answer clears",
-            [(endings.EndingBook, "answered", lambda self, identity, now: (True, []))],
+            [(crashes.CrashTracker, "answered", lambda self, identity, now: (True, []))],
             testing(f"{ending}.test_whole_answer_clears_and_what_was_before_counts_no_more"),
         ),
         Mutant(
@@ -181,7 +197,7 @@
         ),
         Mutant(
             "what other entry hosts saw counts",
-            [(endings.EndingBook, "hear", lambda self, news, now: [])],
+            [(crashes.CrashTracker, "apply_peer_update", lambda self, news, now: [])],
             testing(f"{ending}.test_what_several_entry_hosts_saw_adds_up_and_reaches_all"),
         ),
         Mutant(
@@ -193,7 +209,7 @@
         ),
         Mutant(
             "the account at the project's own edge",
-            [(endings.EndingBook, "problem", lambda self, identity, now, ran: None)],
+            [(crashes.CrashTracker, "problem", lambda self, identity, now, ran: None)],
             testing(
                 "test_suspects.OwnEdgeTest"
                 ".test_request_that_ends_each_engine_is_soon_passed_on_to_none"
@@ -201,12 +217,12 @@
         ),
         Mutant(
             "bound of endings kept",
-            [(endings, "ENDINGS_KEPT", 100_000), (endings, "QUARANTINED_KEPT", 100_000)],
+            [(crashes, "MAX_CRASHES", 100_000), (crashes, "MAX_QUARANTINED", 100_000)],
             testing(f"{ending}.test_what_is_kept_and_told_is_bounded_whatever_comes"),
         ),
         Mutant(
             "one trial after the time of a quarantine",
-            [(endings.EndingBook, "release", lambda self, identity, now: None)],
+            [(crashes.CrashTracker, "release", lambda self, identity, now: None)],
             testing(
                 f"{ending}.test_after_its_time_it_is_tried_once_and_one_ending_quarantines_it_again"
             ),
@@ -233,24 +249,24 @@
         ),
         Mutant(
             "few share a limit",
-            [(target_limits, "SHARERS_BY_RATE", 1e9)],
+            [(target_limits, "SHARERS_PER_RATE", 1e9)],
             testing(f"{account}.test_all_idle_shares_at_once_stay_within_the_bound"),
         ),
         Mutant(
             "first turns follow each other",
-            [(target_limits, "TIGHTENED", 0.0)],
+            [(target_limits, "RESTAGGER_BELOW", 0.0)],
             testing(f"{account}.test_much_lower_limit_has_each_host_wait_its_turn_anew"),
         ),
         Mutant(
             "who takes over a share waits",
-            [(target_limits, "TAKE_OVER_WAIT", 0.0)],
+            [(target_limits, "NEW_SHARER_DELAY", 0.0)],
             testing(
                 f"{account}.test_who_takes_anothers_share_waits_until_what_that_one_sent_is_past"
             ),
         ),
         Mutant(
             "who hears nobody takes no share",
-            [(book, "reach", _always_in_touch)],
+            [(book, "update_hosts", _always_has_peers)],
             testing(f"{account}.test_host_that_hears_nobody_takes_no_share"),
         ),
         Mutant(
@@ -265,12 +281,12 @@
         ),
         Mutant(
             "peers are told of limits",
-            [(book, "hear", lambda self, news, listed, now: [])],
+            [(book, "apply_peer_update", lambda self, news, listed, now: [])],
             testing(f"{spread}.test_host_that_restarts_is_told_within_a_second"),
         ),
         Mutant(
             "all statements are told again",
-            [(target_limits, "AGAIN_EVERY", 1e9)],
+            [(target_limits, "FULL_UPDATE_INTERVAL", 1e9)],
             testing(f"{spread}.test_host_that_restarts_is_told_within_a_second"),
         ),
         Mutant(
@@ -280,31 +296,34 @@
         ),
         Mutant(
             "who stands in for a hub is told",
-            [(reports, "audience", _first_hubs_only), (gossip, "audience", _first_hubs_only)],
+            [
+                (reports, "report_recipients", _first_hubs_only),
+                (gossip, "report_recipients", _first_hubs_only),
+            ],
             testing(f"{spread}.test_all_know_of_it_though_a_hub_is_killed"),
         ),
         Mutant(
             "targets are asked though they take nothing",
-            [(target_limits, "LEAST_RATE", 1e-9)],
+            [(target_limits, "MIN_RATE", 1e-9)],
             testing(f"{account}.test_hosts_in_sum_keep_the_limit_and_use_it"),
         ),
         Mutant(
             "bound of statements kept",
-            [(target_limits, "STATEMENTS_KEPT", 100_000)],
+            [(target_limits, "MAX_STATEMENTS", 100_000)],
             testing(f"{account}.test_what_is_kept_is_bounded_and_what_ended_goes_first"),
         ),
     ]
 
 
-def _always_in_touch(self: Any, hosts: Any, in_touch: bool, now: float) -> None:
-    _REACH(self, hosts, True, now)
+def _always_has_peers(self: Any, hosts: Any, has_peers: bool, now: float) -> None:
+    _UPDATE_HOSTS(self, hosts, True, now)
 
 
-_REACH = target_limits.TargetLimits.reach
+_UPDATE_HOSTS = target_limits.TargetLimits.update_hosts
 
 
 def _read_without_limit(self: Any, status: int, found: Any) -> Any:
-    return self.tools.codec.read_reply(status, found)._replace(notice=Notice())
+    return self.context.codec.read_reply(status, found)._replace(notice=Notice())
 
 
 def _all_answers_are_newer(
@@ -319,10 +338,10 @@
 def _first_hubs_only(
     me: Any, alive: Any, rankings: Any, reporters: Any, silent: bool, heard: Any = ()
 ) -> Any:
-    return _AUDIENCE(me, alive, rankings, reporters, silent)
+    return _REPORT_RECIPIENTS(me, alive, rankings, reporters, silent)
 
 
-_AUDIENCE = reports.audience
+_REPORT_RECIPIENTS = reports.report_recipients
 
 _CRASH = "test_crashes.CrashTest"
 _COMES_AGAIN = f"{_CRASH}.test_request_that_ends_each_replica_is_soon_passed_on_to_none"
@@ -333,7 +352,7 @@
     return [
         Mutant(
             "a few targets for those that choose at once",
-            [(placing, "HERD", 1e9)],
+            [(placement, "HERD_LIMIT", 1e9)],
             testing(
                 "test_serving.PlacingTest"
                 ".test_a_group_that_just_opened_is_not_overrun_by_all_hosts_at_once"
@@ -341,7 +360,7 @@
         ),
         Mutant(
             "spares only for models that are all but full",
-            [(composing, "SHORT", 1e9)],
+            [(composing, "UNDERSUPPLY_RATIO", 1e9)],
             testing("test_groups.ComposingTest.test_spares_are_not_made_into_one_more_small_group"),
         ),
         Mutant(
@@ -354,14 +373,14 @@
         ),
         Mutant(
             "pauses between questions to a group that answers",
-            [(probing, "LONGEST_PAUSE", 0.1)],
+            [(probing, "MAX_ROUND_INTERVAL", 0.1)],
             testing(
                 "test_groups.RoundsTest.test_members_that_all_answer_are_asked_ever_less_often"
             ),
         ),
         Mutant(
             "the store first after an answer without news",
-            [(readers, "URGENT", 0.0)],
+            [(readers, "STORE_FIRST_SECONDS", 0.0)],
             testing(
                 "test_relay.SourcesTest"
                 ".test_reader_with_nothing_to_give_leaves_time_to_read_the_store"
@@ -369,12 +388,12 @@
         ),
         Mutant(
             "duties for strong machines",
-            [(ownership, "STRONG", 0.0)],
+            [(ownership, "STRONG_FRACTION", 0.0)],
             testing("test_relay.ReaderTest.test_duties_for_many_fall_to_strong_machines"),
         ),
         Mutant(
             "domains that changed are worked out anew",
-            [(engine_hosts.EngineHosts, "_work_out", _once_only)],
+            [(engine_hosts.EngineHosts, "_rebuild", _once_only)],
             testing(
                 "test_scale.OracleTest"
                 ".test_what_is_kept_is_what_would_be_worked_out_from_all_hosts"
@@ -382,21 +401,21 @@
         ),
         Mutant(
             "proof only from a configuration that is unchanged",
-            [(readings.StoreSource, "_check", _prove_anyhow)],
+            [(store_reads.StoreSource, "_check", _prove_anyhow)],
             testing(
                 "test_relay.ProofTest.test_without_such_an_answer_the_proof_is_that_of_the_reading"
             ),
         ),
         Mutant(
             "a watch that tells nothing of a change is given up",
-            [(readings.StoreSource, "_told", _told_in_the_end)],
+            [(store_reads.StoreSource, "_watch", _told_in_the_end)],
             testing(
                 "test_relay.ProofTest.test_reader_that_is_told_nothing_of_a_change_reads_everything"
             ),
         ),
         Mutant(
             "doubt of most targets is not believed",
-            [(placing, "BELIEVED", 1.0)],
+            [(placement, "MAX_SUSPECT_FRACTION", 1.0)],
             testing(
                 "test_serving.PlacingTest"
                 ".test_callers_are_not_refused_while_most_groups_stand_idle_under_suspicion"
@@ -412,7 +431,7 @@
         ),
         Mutant(
             "a store that refuses is asked less and less",
-            [(presence, "retry_after", lambda failures: presence.FIRST_RETRY)],
+            [(presence, "renew_retry_delay", lambda failures: presence.FIRST_RETRY)],
             testing(
                 "test_presence.RefusedTest"
                 ".test_store_that_refuses_for_long_is_asked_less_and_less"
@@ -423,7 +442,7 @@
 
 async def _prove_anyhow(self: Any, held: Any, began: float) -> None:
     await self._storage.unchanged(held)
-    self._prove(began)
+    self._record_verified(began)
 
 
 async def _told_in_the_end(self: Any, after: int) -> Any:
@@ -438,7 +457,7 @@
 _POOL = retries.SharedRetryBudget._pool
 
 
-_LONG_QUEUE = standing.Room(1.8, 0)
+_LONG_QUEUE = admission_class.QueueLimit(1.8, 0)
 
 
 class _Anything:
@@ -449,8 +468,8 @@
 def _put_any(self: Any, host: Any) -> Any:
     before = self.by_instance.get(host.instance)
     self._replace(before, host)
-    self._life_by_name[host.instance.name] = host.instance
-    return inventory.Taken(True, before, None)
+    self._instance_by_name[host.instance.name] = host.instance
+    return inventory.PutResult(True, before, None)
 
 
 def _only_news_to_itself(self: Any, key: str, value: Any, revision: int, now: float) -> bool:
@@ -460,15 +479,15 @@
 
 
 def _ended_without_condemning(self: Any, order: Any, end: Any, now: float) -> None:
-    condemned = set(self._condemned)
+    dissolving = set(self._dissolving)
     _ENDED(self, order, end, now)
-    self._condemned = condemned
+    self._dissolving = dissolving
 
 
 def _ended_still_silent(self: Any, order: Any, end: Any, now: float) -> None:
-    missed = dict(self._probes_missed)
+    missed = dict(self._unanswered_probes)
     _ENDED(self, order, end, now)
-    self._probes_missed = missed
+    self._unanswered_probes = missed
 
 
 _ENDED = forming.DomainKeeper.ended
@@ -476,10 +495,10 @@
 
 def _once_only(self: Any, domain: str) -> None:
     if domain not in self._by_domain:
-        _WORK_OUT(self, domain)
+        _REBUILD(self, domain)
 
 
-_WORK_OUT = engine_hosts.EngineHosts._work_out
+_REBUILD = engine_hosts.EngineHosts._rebuild
 
 
 def _share_once(self: Any, domains: int) -> None:
@@ -494,4 +513,4 @@
     return _CAME_BACK(self, route, patience, True)
 
 
-_CAME_BACK = admission.ReturningCallers.came_back
+_CAME_BACK = admission.RetryDetector.is_retry
--- a/dev/oleanderhill_dev/users/notice_mutants.py
+++ b/dev/oleanderhill_dev/users/notice_mutants.py
@@ -7,7 +7,7 @@
 from oleanderhill.groups import inventory
 from oleanderhill.platform import headers
 from oleanderhill.routing import backoffs
-from oleanderhill.serving import driver, leaving, notices, placing
+from oleanderhill.serving import driver, leaving, notices, placement
 
 from ..proving import Mutant, testing
 
@@ -18,7 +18,7 @@
 
 
 def _of_leaving() -> list[Mutant]:
-    site, word = (f"test_leaving.{c}" for c in ("LeavingTest", "WordTest"))
+    site, word = (f"test_leaving.{c}" for c in ("LeavingTest", "LeavingAnnouncementTest"))
     return [
         Mutant(
             "targets that say that they leave get nothing",
@@ -32,12 +32,12 @@
         ),
         Mutant(
             "peers are told of targets that leave",
-            [(leaving.LeavingTargets, "hear", lambda self, news: None)],
+            [(leaving.LeavingTargets, "apply_peer_update", lambda self, news: None)],
             testing(f"{site}.test_host_that_never_asked_hears_of_it"),
         ),
         Mutant(
             "targets that leave are looked for before the first byte",
-            [(notices.TargetNotices, "held_back", lambda self, life: "")],
+            [(notices.TargetNotices, "reason_to_skip", lambda self, life: "")],
             testing(f"{site}.test_request_placed_before_the_word_goes_elsewhere"),
         ),
     ]
@@ -65,7 +65,7 @@
         ),
         Mutant(
             "a target that asked to back off is no candidate",
-            [(book, "may_take", lambda self, life, now: True)],
+            [(book, "may_place", lambda self, life, now: True)],
             testing(
                 f"{place}.test_target_backed_off_from_is_passed_over_though_others_are_doubtful_and_it_sends"
             ),
@@ -77,7 +77,7 @@
         ),
         Mutant(
             "the latest end that was named",
-            [(book, "ask", _ask_last)],
+            [(book, "extend", _ask_last)],
             testing(f"{account}.test_backoff_lasts_until_the_latest_end_that_was_named"),
         ),
         Mutant(
@@ -87,7 +87,7 @@
         ),
         Mutant(
             "orders and probes wait for the end of a back-off",
-            [(notices.TargetNotices, "may_ask", lambda self, instance: True)],
+            [(notices.TargetNotices, "may_contact", lambda self, instance: True)],
             testing(f"{site}.test_neither_orders_nor_probes_go_to_a_host_backed_off_from"),
         ),
         Mutant(
@@ -95,7 +95,7 @@
             [
                 (
                     driver.Exchange,
-                    "_turned_away",
+                    "_handle_rejection",
                     lambda self, c, reason, n: self._suspect(c, reason),
                 )
             ],
@@ -103,15 +103,15 @@
         ),
         Mutant(
             "a target that asked a peer to back off is used last",
-            [(placing.LoadBook, "hear_backoffs", lambda self, lives, now: None)],
+            [(placement.LoadTracker, "apply_peer_backoffs", lambda self, lives, now: None)],
             testing(f"{place}.test_target_that_asked_a_peer_is_used_last_but_used"),
         ),
     ]
 
 
 def _ask_last(self: Any, life: str, seconds: float, now: float) -> bool:
-    self._backoff_by_life.pop(life, None)
+    self._backoff_by_incarnation.pop(life, None)
     return _ASK(self, life, seconds, now)
 
 
-_ASK = backoffs.Backoffs.ask
+_ASK = backoffs.Backoffs.extend
--- a/dev/oleanderhill_dev/users/restored_mutants.py
+++ b/dev/oleanderhill_dev/users/restored_mutants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oleanderhill.clients import currency, keyed, storage
+from oleanderhill.clients import freshness, keyed, storage
 from oleanderhill.groups import inventory, plans
 from oleanderhill.platform import configuration, host_list, store
 from oleanderhill.serving import quarantine
@@ -45,7 +45,7 @@
         ),
         Mutant(
             "a restored store proves nothing at once",
-            [(currency.Currency, "distrust", lambda self, until: None)],
+            [(freshness.Freshness, "ignore_checks_before", lambda self, until: None)],
             testing(f"{settings}.test_proof_of_before_the_store_settled_is_not_taken"),
         ),
         Mutant(
@@ -55,7 +55,7 @@
         ),
         Mutant(
             "terms and epochs are left out",
-            [(plans, "TERMS_LEFT_OUT", 0), (plans, "EPOCHS_LEFT_OUT", 0)],
+            [(plans, "SKIPPED_TERMS", 0), (plans, "SKIPPED_EPOCHS", 0)],
             testing(f"{copies}.test_renewed_plan_repeats_neither_terms_nor_epochs"),
         ),
         Mutant(
@@ -72,7 +72,7 @@
         ),
         Mutant(
             "who leaves by its entry leaves until its life ends",
-            [(inventory.Inventory, "_note_leaving", lambda self, instance: None)],
+            [(inventory.Inventory, "_record_leaving", lambda self, instance: None)],
             testing(f"{hosts}.test_host_that_leaves_still_leaves_whatever_the_backup_says"),
         ),
         Mutant(
--- a/dev/oleanderhill_dev/users/upkeep.py
+++ b/dev/oleanderhill_dev/users/upkeep.py
@@ -15,8 +15,8 @@
 
 import defopt
 
-from oleanderhill.clients.readings import Reading
 from oleanderhill.clients.storage import Change, Revision
+from oleanderhill.clients.store_reads import ReadResult
 from oleanderhill.clock import awake_or_not
 from oleanderhill.groups.inventory import Instance
 from oleanderhill.groups.ownership import Presence, encode_presence, presence_key
@@ -80,7 +80,9 @@
         """Hand a reading to the entry host."""
         self.revision += 1
         now = awake_or_not()
-        self.entry._mirror._take(Reading(Revision(1, self.revision), whole, changes, now, now))
+        self.entry._mirror._apply_reading(
+            ReadResult(Revision(1, self.revision), whole, changes, now, now)
+        )
 
     def listing(self) -> list[Change]:
         """Return the content of the store as a process finds it when it starts."""
@@ -171,9 +173,9 @@
     steps: dict[str, Callable[[], Any]] = {
         "reading, nothing new": lambda: fleet.read([]),
         "reading, one host changed": lambda: fleet.read(alternating[fleet.revision % 2]),
-        "look at the domains": fleet.entry._owner._look_at_all,
+        "look at the domains": fleet.entry._owner._refresh_all,
         "report": lambda: _finish(fleet.gossip.tick()),
-        "total taken": lambda: fleet.gossip._take_total(total, fleet.gossip._own, 0.0),
+        "total taken": lambda: fleet.gossip._apply_total(total, fleet.gossip._own, 0.0),
     }
     return found | {name: _timed(step, REPEATS) for name, step in steps.items()}
 
--- a/src/oleanderhill/clients/packing.py
+++ b/src/oleanderhill/clients/compression.py
@@ -18,15 +18,15 @@
 """Maximum size of a decompressed message."""
 
 
-def shrink(data: bytes) -> bytes:
+def compress_message(data: bytes) -> bytes:
     """Return data as it is sent, compressed if it is large enough."""
     if len(data) <= COMPRESSION_THRESHOLD:
         return PLAIN + data
     return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def grow(data: bytes) -> bytes:
-    """Return the original data of a message made by :func:`shrink`.
+def decompress_message(data: bytes) -> bytes:
+    """Return the original data of a message made by :func:`compress_message`.
 
     :raises msgspec.DecodeError: if the message is malformed
     """
--- a/src/oleanderhill/clients/httpcall.py
+++ b/src/oleanderhill/clients/httpcall.py
@@ -72,7 +72,7 @@
 class Observer:
     """Callbacks of an exchange in progress. Overriding any of them is optional."""
 
-    def sending(self) -> bool:
+    def confirm_send(self) -> bool:
         """Return whether the request may be sent now; ``False`` aborts it before the first byte."""
         return True
 
@@ -88,10 +88,10 @@
 
     :param timeout: seconds for the whole exchange, ``None`` for no limit
     :param reuse: an idle connection may be used, and this one stays open afterwards
-    :param unframed: a reply without a length, delimited by the close of its connection, counts as
-        complete unless the connection was reset
-    :param belongs: returns from a reply's headers whether it answers this call; a reply that
-        doesn't is a late duplicate to an earlier call and is skipped
+    :param accept_close_delimited: a reply without a length, delimited by the close of its
+        connection, counts as complete unless the connection was reset
+    :param is_reply_to_call: returns from a reply's headers whether it answers this call; a reply
+        that doesn't is a late duplicate to an earlier call and is skipped
     """
 
     address: str
@@ -102,8 +102,8 @@
     timeout: float | None = 5.0
     reuse: bool = False
     max_reply: int = MAX_REPLY_BYTES
-    unframed: bool = False
-    belongs: Callable[[HTTPHeaders], bool] | None = None
+    accept_close_delimited: bool = False
+    is_reply_to_call: Callable[[HTTPHeaders], bool] | None = None
     connect_timeout: float = CONNECT_TIMEOUT
 
 
@@ -130,7 +130,9 @@
         assert isinstance(start_line, ResponseStartLine)
         if start_line.code < 200:
             return
-        if self._request.belongs is not None and not self._request.belongs(headers):
+        if self._request.is_reply_to_call is not None and not self._request.is_reply_to_call(
+            headers
+        ):
             self.unrelated = True
             return
         self.status = start_line.code
@@ -141,7 +143,7 @@
         self.close_delimited = (
             "Content-Length" not in headers and "Transfer-Encoding" not in headers
         )
-        self.framing_accepted = self._request.unframed or not self.close_delimited
+        self.framing_accepted = self._request.accept_close_delimited or not self.close_delimited
         if self._observer is not None:
             self._observer.headers(start_line.code, headers)
 
@@ -175,7 +177,7 @@
             refused = isinstance(cause, ConnectionRefusedError)
             reason = str(cause) or "timeout"
             return Failure(CallFailure(FailureKind.NOT_CONNECTED, False, reason, refused))
-        if observer is not None and not observer.sending():
+        if observer is not None and not observer.confirm_send():
             stream.close()
             return Failure(CallFailure(FailureKind.NOT_CONNECTED, False, "overtaken"))
         collector = _ReplyCollector(observer, request)
@@ -208,7 +210,7 @@
             return Failure(CallFailure(FailureKind.LOST, True, "the reply was cut"))
         return Success(Reply(collector.status, collector.reply_headers, b"".join(collector.chunks)))
 
-    def keeps(self, address: str) -> bool:
+    def has_idle_connection(self, address: str) -> bool:
         """Return whether the pool has an open connection to an address."""
         now = time.monotonic()
         idle = self._idle_by_address.get(address, ())
--- a/src/oleanderhill/clients/keyed.py
+++ b/src/oleanderhill/clients/keyed.py
@@ -23,22 +23,22 @@
     retained until they are written again or ``lost_last`` has passed.
 
     :param decode: returns a value, or raises ``ValueError`` for one that is malformed
-    :param outlasts: returns whether the held value is newer than one read from a later generation
+    :param is_newer: returns whether the held value is newer than one read from a later generation
         of the store, whose backup may predate the held value
-    :param lost_last: seconds for which values missing from a restored store are retained
+    :param retain_missing_s: seconds for which values missing from a restored store are retained
     """
 
     def __init__(
         self,
         decode: Callable[[bytes], Value],
         records: Records,
-        outlasts: Callable[[Value, Value], bool] = _never_newer,
-        lost_last: float = 0.0,
+        is_newer: Callable[[Value, Value], bool] = _never_newer,
+        retain_missing_s: float = 0.0,
     ) -> None:
         self._decode = decode
         self._records = records
-        self._outlasts = outlasts
-        self._lost_last = lost_last
+        self._is_newer = is_newer
+        self._retain_missing_s = retain_missing_s
         self._restored_at = float("-inf")
         self._missing_until: dict[str, float] = {}
         self._held: dict[str, tuple[Value, Revision]] = {}
@@ -64,7 +64,7 @@
             self._drop(key)
 
     def _retain_missing(self, key: str, now: float) -> None:
-        until = self._restored_at + self._lost_last
+        until = self._restored_at + self._retain_missing_s
         if now >= until:
             self._drop(key)
             return
@@ -100,7 +100,7 @@
         if (
             held is not None
             and held[1].generation < revision.generation
-            and self._outlasts(held[0], decoded)
+            and self._is_newer(held[0], decoded)
         ):
             # The next write must be conditional on the store's revision.
             self._held[key] = (held[0], revision)
--- a/src/oleanderhill/clients/listening.py
+++ b/src/oleanderhill/clients/listening.py
@@ -9,15 +9,15 @@
 CONNECT_TIMEOUT = 0.4
 """Seconds to connect; a reachable host accepts or refuses within a few ms."""
 
-LOOK_AFTER = (0.05, 0.35)
+CHECK_DELAYS = (0.05, 0.35)
 """Delays in seconds of the checks of a target whose connections were lost: a process may close
 them some time before it exits. Each check costs the target a new connection."""
 
 
-class Listening(StrEnum):
+class ListenStatus(StrEnum):
     """The result of a connection check of a target."""
 
-    THE_SAME = "the same"
+    SAME_INCARNATION = "the same"
     """The target itself answered, in the same incarnation."""
 
     ACCEPTED = "accepted"
@@ -30,17 +30,17 @@
     """No answer: the host is down or unreachable."""
 
 
-async def listening(address: str) -> Listening:
+async def check_listening(address: str) -> ListenStatus:
     """Connect to ``ip:port`` without sending anything, and return the result."""
     host, port = address.rsplit(":", 1)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
-        return Listening.REFUSED
+        return ListenStatus.REFUSED
     except (OSError, TimeoutError):
-        return Listening.SILENT
+        return ListenStatus.SILENT
     writer.close()
     with contextlib.suppress(OSError):  # the accepted connection is enough
         await writer.wait_closed()
-    return Listening.ACCEPTED
+    return ListenStatus.ACCEPTED
--- a/src/oleanderhill/clients/mirror.py
+++ b/src/oleanderhill/clients/mirror.py
@@ -20,9 +20,9 @@
 from ..kernel import Kernel, Task
 from ..records import Records
 from .changelog import ChangeLog
-from .currency import Currency
-from .readings import Reading, Source, Sources
+from .freshness import Freshness
 from .storage import Change, Item, Revision
+from .store_reads import ReadResult, Source, Sources
 
 POLL_INTERVAL = 0.65
 """Seconds between two reads. A configuration must be in force 2 s after its write; this allows for
@@ -46,14 +46,14 @@
 """Seconds between two reads from a peer, which answers once it has changes or has read again."""
 
 
-class Follower(NamedTuple):
+class Subscription(NamedTuple):
     """The callbacks for keys under a prefix.
 
     :param replace: replaces the whole content, with the time of the read
     :param change: applies one change, with the time of the read; returns whether it was significant
     :param restored: called before ``replace`` receives content older than what is held, because the
         store was restored from a backup
-    :param kept: returns retained entries that the store has lost, for peers that read from this
+    :param retained: returns retained entries that the store has lost, for peers that read from this
         host
     """
 
@@ -61,7 +61,7 @@
     replace: Callable[[Sequence[Item], float], None]
     change: Callable[[str, bytes | None, Revision, float], bool]
     restored: Callable[[float], None] = lambda now: None
-    kept: Callable[[], Sequence[Change]] = tuple
+    retained: Callable[[], Sequence[Change]] = tuple
 
 
 class Restorable(Protocol):
@@ -77,9 +77,9 @@
         """Record that the next content comes from a store that was restored from a backup."""
 
 
-def follow(prefix: str, copy: Restorable) -> Follower:
+def subscribe(prefix: str, copy: Restorable) -> Subscription:
     """Return the callbacks that maintain a copy."""
-    return Follower(prefix, copy.replace, copy.change, copy.restored)
+    return Subscription(prefix, copy.replace, copy.change, copy.restored)
 
 
 class Mirror(Task):
@@ -99,8 +99,8 @@
         self,
         kernel: Kernel,
         sources: Sources,
-        currency: Currency,
-        followers: Sequence[Follower],
+        freshness: Freshness,
+        subscriptions: Sequence[Subscription],
         on_applied: Callable[[float], None],
         on_uncertain: Callable[[float], None],
         entry_return: float,
@@ -109,8 +109,8 @@
     ) -> None:
         super().__init__(kernel)
         self._sources = sources
-        self._currency = currency
-        self._followers = followers
+        self._freshness = freshness
+        self._subscriptions = subscriptions
         self._on_applied = on_applied
         self._on_uncertain = on_uncertain
         self._entry_return = entry_return
@@ -140,7 +140,7 @@
         """Return whether the copy is recent enough to base orders on."""
         return self.age(now) <= MAX_AGE_FOR_ORDERS
 
-    async def wait_for_changes(self, after: Revision | None, max_wait: float) -> Reading | None:
+    async def wait_for_changes(self, after: Revision | None, max_wait: float) -> ReadResult | None:
         """Return the changes that a peer lacks, once there are some or this host has read again.
 
         :param after: the revision that the peer has, ``None`` if it has no content
@@ -154,7 +154,7 @@
             except TimeoutError:
                 # A store that is about to drop its history delays each read by a second. While its
                 # freshness checks succeed, the peers need not read it too.
-                if self._currency.age(awake_or_not()) > max_wait:
+                if self._freshness.age(awake_or_not()) > max_wait:
                     return None
         return self._reading_after(after)
 
@@ -167,7 +167,7 @@
         changes = self.log.since(after)
         return changes is not None and not changes
 
-    def _reading_after(self, after: Revision | None) -> Reading | None:
+    def _reading_after(self, after: Revision | None) -> ReadResult | None:
         revision = self.log.revision
         if revision is None or (after is not None and after.generation > revision.generation):
             return None
@@ -176,12 +176,14 @@
         changes = self.log.content() if after is None or full else self.log.since(after)
         if changes is None:
             return None
-        proved_at = self._currency.proved_at
+        verified_at = self._freshness.verified_at
         now = awake_or_not()
         uncertain_s, settle_s = (
             max(0.0, t - now) for t in (self._uncertain_until, self._trusted_from)
         )
-        return Reading(revision, full, changes, proved_at, self._read_at, uncertain_s, settle_s)
+        return ReadResult(
+            revision, full, changes, verified_at, self._read_at, uncertain_s, settle_s
+        )
 
     async def _read_loop(self) -> None:
         while True:
@@ -208,7 +210,7 @@
             found = await source.read(self.log.revision, began)
             if is_successful(found):
                 self._connect(source, began)
-                self._take(found.unwrap())
+                self._apply_reading(found.unwrap())
                 return source.name, None
             error = found.failure()
             self._sources.failed(source, error, awake_or_not())
@@ -218,7 +220,7 @@
         sources = await self._sources.in_order(awake_or_not())
         return next((s for s in sources if s.name not in tried), None)
 
-    def _take(self, found: Reading) -> None:
+    def _apply_reading(self, found: ReadResult) -> None:
         now = awake_or_not()
         held = self.log.revision
         if held is not None and found.revision.generation < held.generation:
@@ -235,12 +237,12 @@
             if significant:
                 self._fast_poll_until = now + FAST_POLL_DURATION
         self._read_at = max(self._read_at, found.read_at)
-        self._currency.prove(found.proved_at)
+        self._freshness.record_verified(found.verified_at)
         self._on_applied(now)
         self._read_applied.set()
         self._read_applied.clear()
 
-    def _begin_generation(self, held: Revision, found: Reading, now: float) -> None:
+    def _begin_generation(self, held: Revision, found: ReadResult, now: float) -> None:
         """Prepare for content of a restored store, which is older than the held content."""
         self._records.note(
             "dependency",
@@ -255,32 +257,32 @@
         self.restored += 1
         self.connected_since = now
         self._trusted_from = now + found.settle_s
-        self._currency.distrust(self._trusted_from)
+        self._freshness.ignore_checks_before(self._trusted_from)
         self._mark_uncertain(now + self._entry_return)
-        for follower in self._followers:
+        for follower in self._subscriptions:
             follower.restored(now)
 
-    def _replace(self, found: Reading, now: float) -> None:
-        content = [c for c in found.changes if self._follower_of(c.key) is not None]
-        for follower in self._followers:
+    def _replace(self, found: ReadResult, now: float) -> None:
+        content = [c for c in found.changes if self._subscription_for(c.key) is not None]
+        for follower in self._subscriptions:
             items = [
                 Item(c.key, c.value, c.revision)
                 for c in content
                 if c.value is not None and c.key.startswith(follower.prefix)
             ]
             follower.replace(items, now)
-        kept = {c.key: c for f in self._followers for c in f.kept()}
-        content = [*(c for c in content if c.key not in kept), *kept.values()]
+        retained = {c.key: c for f in self._subscriptions for c in f.retained()}
+        content = [*(c for c in content if c.key not in retained), *retained.values()]
         self.log.replace(found.revision, content)
 
     def _change(self, change: Change, now: float) -> bool:
-        follower = self._follower_of(change.key)
+        follower = self._subscription_for(change.key)
         if follower is None:
             return False
         return follower.change(change.key, change.value, change.revision, now)
 
-    def _follower_of(self, key: str) -> Follower | None:
-        return next((f for f in self._followers if key.startswith(f.prefix)), None)
+    def _subscription_for(self, key: str) -> Subscription | None:
+        return next((f for f in self._subscriptions if key.startswith(f.prefix)), None)
 
     def _mark_uncertain(self, until: float) -> None:
         self._uncertain_until = max(self._uncertain_until, until)
--- a/src/oleanderhill/clients/relay.py
+++ b/src/oleanderhill/clients/relay.py
@@ -28,11 +28,11 @@
 from ..clock import awake_or_not
 from ..exceptions import NoReadingError, StoreError, StoreUnavailableError
 from ..kernel import Kernel, Task
+from .compression import compress_message, decompress_message
 from .httpcall import Call, HttpCaller
 from .mirror import POLL_INTERVAL, Mirror
-from .packing import grow, shrink
-from .readings import Reading
 from .storage import NEVER, Change, Revision
+from .store_reads import ReadResult
 
 MAX_WAIT = POLL_INTERVAL + 0.2
 """Seconds for which a request waits for changes: one read of the store and a slow answer."""
@@ -83,7 +83,7 @@
         self._address = address
         self._caller = caller
 
-    async def read(self, after: Revision | None, began: float) -> Result[Reading, StoreError]:
+    async def read(self, after: Revision | None, began: float) -> Result[ReadResult, StoreError]:
         """Read the changes after a revision from the peer."""
         query = (
             ""
@@ -108,7 +108,7 @@
             return Failure(StoreUnavailableError(f"{self.name}: status {reply.status}"))
         try:
             encoded = _DECODER.decode(reply.body)
-            changes = _CHANGES_DECODER.decode(grow(encoded.changes))
+            changes = _CHANGES_DECODER.decode(decompress_message(encoded.changes))
         except msgspec.DecodeError as error:
             return Failure(StoreUnavailableError(f"{self.name}: malformed reading: {error}"))
         if after is not None and encoded.revision.generation < after.generation:
@@ -118,7 +118,7 @@
             # The peer is behind. Its freshness check also holds for the newer content of this host.
             encoded, changes = encoded._replace(revision=after), []
         return Success(
-            Reading(
+            ReadResult(
                 encoded.revision,
                 encoded.full,
                 changes,
@@ -199,14 +199,14 @@
             reading.revision,
             reading.full,
             self._encode_changes(since, reading),
-            now - reading.proved_at,
+            now - reading.verified_at,
             now - reading.read_at,
             reading.uncertain_s,
             reading.settle_s,
         )
         _reply(connection, 200, _ENCODER.encode(encoded))
 
-    def _encode_changes(self, since: Revision | None, reading: Reading) -> bytes:
+    def _encode_changes(self, since: Revision | None, reading: ReadResult) -> bytes:
         """Return the encoded changes of a read, cached for all peers at the same revision.
 
         At the first start all hosts change concurrently. When their changes were encoded for each
@@ -218,7 +218,7 @@
             self._encoded_changes = (reading.revision, {})
         changes_by_revision = self._encoded_changes[1]
         if since not in changes_by_revision:
-            changes_by_revision[since] = shrink(_ENCODER.encode(list(reading.changes)))
+            changes_by_revision[since] = compress_message(_ENCODER.encode(list(reading.changes)))
         return changes_by_revision[since]
 
 
--- a/src/oleanderhill/clients/readings.py
+++ b/src/oleanderhill/clients/store_reads.py
@@ -35,12 +35,12 @@
 _CHANGED = "the store holds another revision"
 
 
-class Reading(NamedTuple):
+class ReadResult(NamedTuple):
     """The result of a read.
 
     :param revision: the store's revision up to which the changes are complete
     :param full: the changes are the whole content, not only those since the last read
-    :param proved_at: time at which this content was verified to be the newest
+    :param verified_at: time at which this content was verified to be the newest
     :param read_at: time at which the store was asked
     :param uncertain_s: seconds for which missing entries may still reappear
     :param settle_s: seconds after the start of a generation in which freshness checks are ignored
@@ -49,7 +49,7 @@
     revision: Revision
     full: bool
     changes: Sequence[Change]
-    proved_at: float
+    verified_at: float
     read_at: float
     uncertain_s: float = 0.0
     settle_s: float = RESTORE_SETTLE_TIME
@@ -60,7 +60,7 @@
 
     name: str
 
-    async def read(self, after: Revision | None, began: float) -> Result[Reading, StoreError]:
+    async def read(self, after: Revision | None, began: float) -> Result[ReadResult, StoreError]:
         """Read the changes after a revision, or the whole content for ``None``."""
 
 
@@ -79,7 +79,8 @@
 
     :param prefixes: key prefixes that make up the whole content
     :param held: returns the held revisions, by key, of the keys whose freshness is checked
-    :param prove: called with the time at which the held revisions were verified to be the newest
+    :param record_verified: called with the time at which the held revisions were verified to be the
+        newest
     """
 
     name = "store"
@@ -89,23 +90,23 @@
         storage: Storage,
         prefixes: Sequence[str],
         held: Callable[[], Mapping[str, Revision]],
-        prove: Callable[[float], None],
+        record_verified: Callable[[float], None],
         records: Records,
     ) -> None:
         self._storage = storage
         self._prefixes = prefixes
         self._held = held
-        self._prove = prove
+        self._record_verified = record_verified
         self._records = records
         self._last_check = _UNCHANGED
         self._checked_at = float("-inf")
         self._checks: set[asyncio.Task[None]] = set()
         self._changed = asyncio.Event()
-        self.checks = False
+        self.run_freshness_checks = False
         """Whether freshness checks run during reads. Only the main reader, which reads for all,
         runs them; if the others did while it is unavailable, the fleet's calls would double."""
 
-    async def read(self, after: Revision | None, began: float) -> Result[Reading, StoreError]:
+    async def read(self, after: Revision | None, began: float) -> Result[ReadResult, StoreError]:
         """Read the changes, or the whole content if the store no longer has the changes."""
         if after is None:
             return await self._read_full(began)
@@ -116,8 +117,8 @@
         finally:
             checking.cancel()
 
-    async def _read_changes(self, after: Revision, began: float) -> Result[Reading, StoreError]:
-        found = await self._told(after)
+    async def _read_changes(self, after: Revision, began: float) -> Result[ReadResult, StoreError]:
+        found = await self._watch(after)
         if found is None:
             self._records.note("dependency", "watch given up", reason=_CHANGED, after=after)
             # The configuration has changed but the watch returns nothing: the store is about to
@@ -133,7 +134,7 @@
         if is_successful(found):
             update = found.unwrap()
             return Success(
-                Reading(
+                ReadResult(
                     update.revision, False, update.changes, began - MISSED_CHANGES_WINDOW, began
                 )
             )
@@ -141,7 +142,7 @@
             return await self._read_full(began)
         return Failure(found.failure())
 
-    async def _told(self, after: Revision) -> Result[Changes, StoreError] | None:
+    async def _watch(self, after: Revision) -> Result[Changes, StoreError] | None:
         """Return the result of the watch, ``None`` if it returns nothing despite a change."""
         watch = asyncio.ensure_future(self._storage.changes(after))
         changed = asyncio.ensure_future(self._changed.wait())
@@ -162,7 +163,7 @@
         be rejected that much sooner. The checks continue while the read hangs: without a recent
         check all peers would read the store themselves.
         """
-        while self.checks and (held := self._held()):
+        while self.run_freshness_checks and (held := self._held()):
             now = awake_or_not()
             if now - self._checked_at >= CHECK_INTERVAL:
                 self._checked_at = now
@@ -177,7 +178,7 @@
         found = await self._storage.unchanged(held)
         unchanged = found.value_or(None)
         if unchanged:
-            self._prove(began)
+            self._record_verified(began)
         elif unchanged is False:
             self._changed.set()
         outcome = _UNCHANGED if unchanged else _CHANGED if is_successful(found) else found.failure()
@@ -189,7 +190,7 @@
             self._last_check = outcome
             self._records.note("dependency", "checked", outcome=outcome, held=dict(held))
 
-    async def _read_full(self, began: float) -> Result[Reading, StoreError]:
+    async def _read_full(self, began: float) -> Result[ReadResult, StoreError]:
         items: list[Change] = []
         revisions: list[Revision] = []
         for prefix in self._prefixes:
@@ -202,4 +203,4 @@
         if len({r.generation for r in revisions}) > 1:
             return Failure(GenerationEndedError())
         # The listings are not one snapshot: changes after the oldest one are read again.
-        return Success(Reading(min(revisions), True, items, began, began))
+        return Success(ReadResult(min(revisions), True, items, began, began))
--- a/src/oleanderhill/destinations.py
+++ b/src/oleanderhill/destinations.py
@@ -5,7 +5,7 @@
 from .journal.messages import ClaimAnswer, ClaimAsk
 from .limits.accounts import Demand
 from .members.membership import Gossip
-from .routing.endings import EndingNews
+from .routing.crashes import EndingNews
 from .routing.messages import DomainEvidence, RecordsWanted
 from .settings.documents import Digest, Have, Notice, Want
 
--- a/src/oleanderhill/domains/hostwatch.py
+++ b/src/oleanderhill/domains/hostwatch.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from .. import ownership as owners
-from ..routing.wholeness import EVIDENCE_MAX_AGE
+from ..routing.completeness import EVIDENCE_MAX_AGE
 from ..types import EngineState, HostEntry, HostState, SeenReport
 
 PROBE_EVERY = 0.9
--- a/src/oleanderhill/domains/orders.py
+++ b/src/oleanderhill/domains/orders.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from ..routing.wholeness import EVIDENCE_MAX_AGE
+from ..routing.completeness import EVIDENCE_MAX_AGE
 from ..types import DomainLedger, EngineState, GroupRecord, HostEntry, Order, SeenReport
 
 RESEND_AFTER = 1.0
--- a/src/oleanderhill/domains/placement.py
+++ b/src/oleanderhill/domains/placement.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from ..routing.wholeness import EVIDENCE_MAX_AGE, MemberFault, Verdict, judge
+from ..routing.completeness import EVIDENCE_MAX_AGE, MemberFault, Verdict, evaluate_group
 from ..types import (
     DomainLedger,
     GroupPhase,
@@ -246,7 +246,7 @@
 
 
 def _verdict(s: Situation, record: GroupRecord) -> Verdict:
-    return judge(record, s.seen_by_host, s.now)
+    return evaluate_group(record, s.seen_by_host, s.now)
 
 
 def _repair(s: Situation) -> list[Action]:
--- a/src/oleanderhill/domains/steward.py
+++ b/src/oleanderhill/domains/steward.py
@@ -18,9 +18,9 @@
 
 from .. import ownership as owners
 from ..ownership import Ownership, Standing
+from ..routing.completeness import EVIDENCE_MAX_AGE, view_of
 from ..routing.evidence import state_of
 from ..routing.messages import DomainEvidence
-from ..routing.wholeness import EVIDENCE_MAX_AGE, view_of
 from ..types import DomainLedger, GroupPhase, GroupView, Order, WantedGroup
 from . import ledger as ledgers
 from . import placement
--- a/src/oleanderhill/domains/stewards.py
+++ b/src/oleanderhill/domains/stewards.py
@@ -125,10 +125,10 @@
         now = time.monotonic()
         members = self.kernel.find("membership", MembershipTask)
         life_by_live = {h: r.life for h, r in members.live(self._data_centre).items()}
-        heard_at_by_domain = self.kernel.find("router", RouterTask).book.heard_at_by_domain
+        received_at_by_domain = self.kernel.find("router", RouterTask).book.received_at_by_domain
         for domain, steward in self.by_domain.items():
             steward.life_by_live = life_by_live
-            steward.owner_heard_at = heard_at_by_domain.get(domain, float("-inf"))
+            steward.owner_heard_at = received_at_by_domain.get(domain, float("-inf"))
             steward.settled = members.settled()
             self._perform(steward, steward.tick(now))
             if steward.owned:
--- a/src/oleanderhill/groups/actions.py
+++ b/src/oleanderhill/groups/actions.py
@@ -56,7 +56,7 @@
 Action = Order | Replan
 
 
-class OrderEnd(StrEnum):
+class OrderOutcome(StrEnum):
     """Outcome of an order."""
 
     DONE = "done"
--- a/src/oleanderhill/groups/composing.py
+++ b/src/oleanderhill/groups/composing.py
@@ -26,7 +26,7 @@
 """Fraction of a domain's hosts that is kept free as spares: two of nine, five of 37."""
 
 
-SHORT = 1.25
+UNDERSUPPLY_RATIO = 1.25
 """Ratio of groups to groups filled by load below which a model is undersupplied. At this ratio four
 fifths of its slots are in use, and the first request that meets a busy group has to wait."""
 
@@ -120,7 +120,7 @@
     own = sum(1 for g in plan.groups if g.model == need.model)
     if free - need.hosts >= desired.spares or own < desired.mix.get(need.model, 0):
         return True
-    return own + need.others < SHORT * need.filled
+    return own + need.others < UNDERSUPPLY_RATIO * need.filled
 
 
 def initial_mix(
--- a/src/oleanderhill/groups/engine_hosts.py
+++ b/src/oleanderhill/groups/engine_hosts.py
@@ -24,7 +24,7 @@
     def __init__(self, inventory: Inventory) -> None:
         self._inventory = inventory
         self._services: frozenset[str] = frozenset()
-        self._change_seen: dict[str, int] = {}
+        self._last_change_seen: dict[str, int] = {}
         self._by_domain: dict[str, Mapping[Instance, TargetHost]] = {}
 
     def by_domain(self, catalog: Catalog) -> HostsByDomain:
@@ -34,18 +34,18 @@
         )
         if services != self._services:
             self._services = services
-            self._change_seen = {}
+            self._last_change_seen = {}
         listed = set(self._inventory.domains())
         for domain in listed | self._by_domain.keys():
             change = self._inventory.last_change(domain)
-            if self._change_seen.get(domain) != change:
-                self._change_seen[domain] = change
-                self._work_out(domain)
-        for domain in self._change_seen.keys() - listed:
-            del self._change_seen[domain]
+            if self._last_change_seen.get(domain) != change:
+                self._last_change_seen[domain] = change
+                self._rebuild(domain)
+        for domain in self._last_change_seen.keys() - listed:
+            del self._last_change_seen[domain]
         return self._by_domain
 
-    def _work_out(self, domain: str) -> None:
+    def _rebuild(self, domain: str) -> None:
         hosts = self._inventory.in_domain(domain)
         found = {i: h for i, h in hosts.items() if h.service in self._services}
         if found:
--- a/src/oleanderhill/groups/forming.py
+++ b/src/oleanderhill/groups/forming.py
@@ -16,7 +16,7 @@
 from collections.abc import Collection, Mapping, Sequence
 from enum import StrEnum
 
-from .actions import Action, Join, Leave, Open, Order, OrderEnd, Replan, Stage
+from .actions import Action, Join, Leave, Open, Order, OrderOutcome, Replan, Stage
 from .composing import (
     FreeHost,
     ModelNeed,
@@ -51,7 +51,7 @@
 """Consecutive unanswered probes after which a member counts as lost. Its entry stays listed for
 three more heartbeats, and requests sent in that time stall."""
 
-REACHED_WITHIN = 1.5
+REACHABLE_SECONDS = 1.5
 """Seconds within which another host of the domain must have answered this entry host for unanswered
 probes to count. If none has, this entry host may itself be partitioned."""
 
@@ -86,37 +86,37 @@
         self._fault_since: dict[str, float] = {}
         self._completed: set[str] = set()
         self._left_at: dict[tuple[str, Instance], float] = {}
-        self._condemned: set[str] = set()
-        self._probes_missed: dict[Instance, int] = {}
+        self._dissolving: set[str] = set()
+        self._unanswered_probes: dict[Instance, int] = {}
         self._answered_at = float("-inf")
         self._avoid_until: dict[Instance, float] = {}
 
-    def ended(self, order: Order, end: OrderEnd, now: float) -> None:
+    def ended(self, order: Order, end: OrderOutcome, now: float) -> None:
         """Record the outcome of an order."""
-        if end in (OrderEnd.SILENT, OrderEnd.GONE):
+        if end in (OrderOutcome.SILENT, OrderOutcome.GONE):
             self._avoid_until[order.instance] = now + AVOID_SECONDS
-        elif end != OrderEnd.HELD_BACK:
+        elif end != OrderOutcome.HELD_BACK:
             # A host that was partitioned answers orders long before another probe of it is due. If
             # its old unanswered probes still counted, each group that it is assigned to would be
             # dissolved.
-            self._probes_missed.pop(order.instance, None)
-        if end not in (OrderEnd.SILENT, OrderEnd.HELD_BACK):
+            self._unanswered_probes.pop(order.instance, None)
+        if end not in (OrderOutcome.SILENT, OrderOutcome.HELD_BACK):
             self._answered_at = now
         if isinstance(order, Stage):
             self._spares.ended(order, end, now)
         if not isinstance(order, Leave):
             return
-        if end in (OrderEnd.DONE, OrderEnd.UNFIT, OrderEnd.GONE):
+        if end in (OrderOutcome.DONE, OrderOutcome.UNFIT, OrderOutcome.GONE):
             self._left_at[order.group, order.instance] = now
-            self._condemned.add(order.group)
+            self._dissolving.add(order.group)
 
     def probed(self, instance: Instance, unanswered: int, now: float) -> None:
         """Record the number of consecutive probes that a host left unanswered, 0 if it answered."""
         if not unanswered:
             self._answered_at = now
-            self._probes_missed.pop(instance, None)
+            self._unanswered_probes.pop(instance, None)
             return
-        self._probes_missed[instance] = self._probes_missed.get(instance, 0) + unanswered
+        self._unanswered_probes[instance] = self._unanswered_probes.get(instance, 0) + unanswered
         self._avoid_until[instance] = now + AVOID_SECONDS
 
     def decide(
@@ -171,13 +171,13 @@
 
     def _prune(self, plan: DomainPlan, hosts: Mapping[Instance, TargetHost]) -> None:
         names = {g.name for g in plan.groups}
-        self._probes_missed = {i: n for i, n in self._probes_missed.items() if i in hosts}
+        self._unanswered_probes = {i: n for i, n in self._unanswered_probes.items() if i in hosts}
         self._avoid_until = {i: t for i, t in self._avoid_until.items() if i in hosts}
         for table in (self._planned_since, self._fault_since):
             for name in [n for n in table if n not in names]:
                 del table[name]
         self._completed &= names
-        self._condemned &= names
+        self._dissolving &= names
         self._left_at = {m: t for m, t in self._left_at.items() if m[1] in hosts}
         self._ordered_at = {o: t for o, t in self._ordered_at.items() if o[1].instance in hosts}
 
@@ -190,7 +190,7 @@
     ) -> Fault | None:
         # Once a member has left, the group cannot be repaired: ordered to join again, the member
         # would be in a group that it is recorded as having left.
-        if group.name in self._condemned:
+        if group.name in self._dissolving:
             return Fault.DISSOLVING
         members = [hosts.get(i) for i in group.members]
         if any(m is None for m in members):
@@ -211,9 +211,9 @@
         return Fault.NOT_FORMED if late and group.name not in self._completed else None
 
     def _has_lost_member(self, now: float, group: PlannedGroup) -> bool:
-        if now - self._answered_at > REACHED_WITHIN:
+        if now - self._answered_at > REACHABLE_SECONDS:
             return False
-        return any(self._probes_missed.get(i, 0) >= SILENT_PROBES for i in group.members)
+        return any(self._unanswered_probes.get(i, 0) >= SILENT_PROBES for i in group.members)
 
     def _continue_forming(
         self,
@@ -277,7 +277,7 @@
     ) -> list[Action]:
         present = [i for i in group.members if i in hosts]
         staying = [i for i in present if (group.name, i) not in self._left_at]
-        if now - self._answered_at > REACHED_WITHIN:
+        if now - self._answered_at > REACHABLE_SECONDS:
             # No host answers this entry host. A single order suffices to detect when that changes.
             staying = staying[:1]
         orders = [Leave(group.name, group.epoch, i) for i in staying]
@@ -290,7 +290,7 @@
         held = {i for g in plan.groups for i in g.members}
         actions: list[Action] = []
         for host in hosts.values():
-            if host.instance in held or host.membership is None or self._left(now, host):
+            if host.instance in held or host.membership is None or self._has_left(now, host):
                 continue
             if host.instance in self._spares.warming:
                 continue
@@ -300,7 +300,7 @@
             )
         return actions
 
-    def _left(self, now: float, host: TargetHost) -> bool:
+    def _has_left(self, now: float, host: TargetHost) -> bool:
         """Return whether a host is in no group, by its entry or by its own more recent report."""
         if host.membership is None:
             return True
@@ -365,7 +365,7 @@
             for h in hosts.values()
             if h.instance not in held
             and not h.leaving
-            and self._left(now, h)
+            and self._has_left(now, h)
             and h.instance not in self._spares.warming
             and now >= self._avoid_until.get(h.instance, 0.0)
         ]
--- a/src/oleanderhill/groups/inventory.py
+++ b/src/oleanderhill/groups/inventory.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-NAMES_KEPT = 4_000
+MAX_REMEMBERED_NAMES = 4_000
 """Maximum number of unlisted hosts whose latest start time is remembered. It covers five days of
 the 760 failures and restarts a day that are expected of the largest deployment; no write is known
 to have been delayed for longer."""
@@ -71,7 +71,7 @@
     membership: Membership | None = None
 
 
-class Taken(NamedTuple):
+class PutResult(NamedTuple):
     """Result of adding an entry.
 
     :param current: whether the entry was accepted; ``False`` if its incarnation has ended
@@ -110,16 +110,16 @@
         self._engines_by_service: Counter[str] = Counter()
         self.changes = 0
         self._grace_until: dict[Instance, float] = {}
-        self._life_by_name: dict[str, Instance] = {}
+        self._instance_by_name: dict[str, Instance] = {}
         self._newest_born: dict[str, int] = {}
         self._leaving: dict[Instance, None] = {}
         self._grace_ends = float("-inf")
 
-    def doubt(self, until: float) -> None:
+    def extend_grace(self, until: float) -> None:
         """Record a store outage: entries that are missing may reappear until the given time."""
         self._grace_ends = max(self._grace_ends, until)
 
-    def put(self, host: TargetHost) -> Taken:
+    def put(self, host: TargetHost) -> PutResult:
         """Add or update a host's entry, unless a later incarnation of the host is known.
 
         The entry of an earlier incarnation may arrive late, after the host was partitioned and
@@ -127,25 +127,25 @@
         """
         instance = host.instance
         if instance.born < self._newest_born.get(instance.name, 0):
-            return Taken(False, None, None)
+            return PutResult(False, None, None)
         # Move the name to the end, so that the names not seen for the longest time come first.
         self._newest_born.pop(instance.name, None)
         self._newest_born[instance.name] = instance.born
         self._evict_oldest_name()
         # A newer incarnation proves that the older one has ended, also during the grace period.
-        known = self.life_of(instance.name)
+        known = self.incarnation_of(instance.name)
         ended = self.discard(instance.name) if known != instance else None
         self._grace_until.pop(instance, None)
         before = self.by_instance.get(instance)
         if host.leaving:
-            self._note_leaving(instance)
+            self._record_leaving(instance)
         elif instance in self._leaving:
             # The entry may predate the host's report that it is leaving, or never show it.
             host = host._replace(leaving=True)
         if before != host:
             self._replace(before, host)
-        self._life_by_name[instance.name] = instance
-        return Taken(True, before, ended)
+        self._instance_by_name[instance.name] = instance
+        return PutResult(True, before, ended)
 
     def leave(self, incarnation: str) -> bool:
         """Record a host's own report that it is leaving, valid until the incarnation ends.
@@ -155,14 +155,14 @@
         host = self.host(incarnation)
         if host is None:
             return False
-        self._note_leaving(host.instance)
+        self._record_leaving(host.instance)
         if not host.leaving:
             self._replace(host, host._replace(leaving=True))
         return True
 
-    def _note_leaving(self, instance: Instance) -> None:
+    def _record_leaving(self, instance: Instance) -> None:
         self._leaving[instance] = None
-        if len(self._leaving) > NAMES_KEPT:
+        if len(self._leaving) > MAX_REMEMBERED_NAMES:
             del self._leaving[next(iter(self._leaving))]
 
     def is_leaving(self, incarnation: str) -> bool:
@@ -170,18 +170,20 @@
         host = self.host(incarnation)
         return host is not None and host.leaving
 
-    def life_of(self, name: str) -> Instance | None:
+    def incarnation_of(self, name: str) -> Instance | None:
         """Return the listed incarnation of a host."""
-        return self._life_by_name.get(name)
+        return self._instance_by_name.get(name)
 
     def host(self, incarnation: str) -> TargetHost | None:
         """Return the listed host whose incarnation has this textual form."""
-        instance = self.life_of(incarnation) or self.life_of(incarnation.rpartition("@")[0])
+        instance = self.incarnation_of(incarnation) or self.incarnation_of(
+            incarnation.rpartition("@")[0]
+        )
         return self.by_instance[instance] if instance and str(instance) == incarnation else None
 
     def remove(self, name: str, now: float) -> Removal | None:
         """Process a missing entry. Return ``None`` if the host was not listed."""
-        instance = self.life_of(name)
+        instance = self.incarnation_of(name)
         if instance is None:
             return None
         if now < self._grace_ends:
@@ -191,7 +193,7 @@
 
     def discard(self, name: str) -> Removal | None:
         """Remove a host, ignoring any grace period. Return ``None`` if it was not listed."""
-        instance = self._life_by_name.pop(name, None)
+        instance = self._instance_by_name.pop(name, None)
         if instance is None:
             return None
         self._grace_until.pop(instance, None)
@@ -203,7 +205,7 @@
         """Replace the list and return the incarnations that are gone."""
         found = list(hosts)
         listed = {h.instance.name for h in found}
-        missing = [n for n in self._life_by_name if n not in listed]
+        missing = [n for n in self._instance_by_name if n not in listed]
         removals = [*(self.put(h).ended for h in found), *(self.remove(n, now) for n in missing)]
         return [r for r in removals if r is not None and r.gone]
 
@@ -217,8 +219,8 @@
         return instance.born < self._newest_born.get(instance.name, 0)
 
     def _evict_oldest_name(self) -> None:
-        if len(self._newest_born) > NAMES_KEPT + len(self._life_by_name):
-            unlisted = (n for n in self._newest_born if n not in self._life_by_name)
+        if len(self._newest_born) > MAX_REMEMBERED_NAMES + len(self._instance_by_name):
+            unlisted = (n for n in self._newest_born if n not in self._instance_by_name)
             oldest = next(unlisted, None)
             if oldest is not None:
                 del self._newest_born[oldest]
--- a/src/oleanderhill/groups/owner.py
+++ b/src/oleanderhill/groups/owner.py
@@ -19,14 +19,14 @@
 from ..kernel import Kernel, Task
 from ..records import Records
 from ..settings.catalog import Catalog
-from .actions import Action, Order, OrderEnd, Replan
+from .actions import Action, Order, OrderOutcome, Replan
 from .composing import ModelNeed, initial_mix
 from .engine_hosts import EngineHosts, HostsByDomain
 from .forming import DomainKeeper
 from .inventory import Instance, Inventory
 from .ownership import Presence, owns, should_take, taken_over
 from .pacing import LoadPacer
-from .plans import DomainPlan, PlannedGroup, encode_plan, plan_key, renewed
+from .plans import DomainPlan, PlannedGroup, encode_plan, in_new_generation, plan_key
 from .probing import ProbeRounds, count_unanswered
 
 SETTLE_SECONDS = 1.5
@@ -37,7 +37,7 @@
 """Seconds without a new host after which the list counts as complete at the first start. 54 hosts
 are listed within 1.3 s and 222 within four, one every 20 ms."""
 
-WRITE_AGAIN = 0.6
+WRITE_RETRY_SECONDS = 0.6
 """Seconds until a domain is processed again after a failed write: about one reading of the store,
 which shows whether the write took effect. Without this delay an owner whose store rejected calls
 immediately wrote every 20 ms until its copy was too old: 61 times, each with its cost and a log
@@ -55,17 +55,17 @@
 class Orders(Protocol):
     """Sends orders to engine hosts."""
 
-    may_ask: Callable[[Instance], bool]
+    may_contact: Callable[[Instance], bool]
     """Returns whether a host may be sent probes or orders now."""
 
-    async def give(self, order: Order, address: str, term: int) -> OrderEnd:
+    async def send(self, order: Order, address: str, term: int) -> OrderOutcome:
         """Send an order and return its outcome."""
 
     async def answers(self, instance: Instance, address: str) -> bool:
         """Return whether this incarnation of a host answers a probe."""
 
 
-class Limits(NamedTuple):
+class LoadLimits(NamedTuple):
     """Limits that the owner enforces.
 
     :param load_window: seconds in which ``load_factor`` times the allowed rate of loads, plus
@@ -100,7 +100,7 @@
         inventory: Inventory,
         catalog: Callable[[], Catalog | None],
         orders: Orders,
-        limits: Limits,
+        limits: LoadLimits,
         first_loads_free: Callable[[], bool],
         is_suspect: Callable[[str], bool],
         demand: Callable[[str], float],
@@ -136,7 +136,7 @@
         """Start the periodic refresh of domains."""
         self.spawn(self._tick_loop())
 
-    def look_soon(self) -> None:
+    def refresh_soon(self) -> None:
         """Schedule a refresh of all domains because new information has arrived.
 
         Each step of a group's repair waits for the result of the previous one: the outcome of an
@@ -150,7 +150,7 @@
     async def tick(self) -> None:
         """Refresh each domain once."""
         began = time.monotonic()
-        self._look_at_all()
+        self._refresh_all()
         self._refresh_duration = time.monotonic() - began
 
     async def stop(self) -> None:
@@ -164,7 +164,7 @@
         self._next_refresh = None
         self.spawn(self.tick())
 
-    def _look_at_all(self) -> None:
+    def _refresh_all(self) -> None:
         now = awake_or_not()
         catalog = self._catalog()
         # An outdated copy must not lead to orders: the plan may have another owner by now.
@@ -190,7 +190,7 @@
         if owns(plan, self._me):
             if plan.generation < self._generation():
                 reason = "the store was restored from a backup"
-                self._write(plan, revision, renewed(plan, self._generation()), reason)
+                self._write(plan, revision, in_new_generation(plan, self._generation()), reason)
                 return
             self._manage(now, plan, revision, hosts_by_domain, catalog)
             return
@@ -255,7 +255,7 @@
         silent = False
         try:
             listed = [i for i in group.members if i in self._inventory.by_instance]
-            contactable = [i for i in listed if self._orders.may_ask(i)]
+            contactable = [i for i in listed if self._orders.may_contact(i)]
             probes = [count_unanswered(partial(self._probe_host, i)) for i in contactable]
             for instance, unanswered in zip(
                 contactable, await asyncio.gather(*probes), strict=True
@@ -266,7 +266,7 @@
                     self._records.note("probe", "silent", instance=str(instance), group=group.name)
         finally:
             self._probe_rounds.end(group.name, silent, awake_or_not())
-            self.look_soon()
+            self.refresh_soon()
 
     async def _probe_host(self, instance: Instance) -> bool:
         host = self._inventory.by_instance.get(instance)
@@ -312,14 +312,14 @@
             return
         host = self._inventory.by_instance.get(action.instance)
         if host is None:
-            keeper.ended(action, OrderEnd.SILENT, awake_or_not())
+            keeper.ended(action, OrderOutcome.SILENT, awake_or_not())
             return
         self.spawn(self._send_order(action, host.address, plan, keeper))
 
     async def _send_order(
         self, order: Order, address: str, plan: DomainPlan, keeper: DomainKeeper
     ) -> None:
-        end = await self._orders.give(order, address, plan.term)
+        end = await self._orders.send(order, address, plan.term)
         now = awake_or_not()
         self._records.note(
             "order",
@@ -332,7 +332,7 @@
             list_age_s=round(self._mirror.age(now), 2),
         )
         keeper.ended(order, end, now)
-        self.look_soon()
+        self.refresh_soon()
 
     def _generation(self) -> int:
         """Return the generation of the store at the latest reading."""
@@ -341,7 +341,7 @@
     def _write(self, plan: DomainPlan, revision: Revision, new: DomainPlan, reason: str) -> None:
         self._writing.add(plan.domain)
         if plan.generation < self._generation() and new.generation < self._generation():
-            new = renewed(new, self._generation())
+            new = in_new_generation(new, self._generation())
         written = new._replace(write_id=secrets.token_hex(6), version=plan.version + 1)
         self.spawn(self._commit(revision, written, reason))
 
@@ -361,7 +361,7 @@
                     for item in error.held.values():
                         self._plans.put(item.key, item.value, item.revision)
                 else:
-                    self._retry_write_at[plan.domain] = awake_or_not() + WRITE_AGAIN
+                    self._retry_write_at[plan.domain] = awake_or_not() + WRITE_RETRY_SECONDS
             self._records.note(
                 "plan",
                 outcome,
@@ -373,7 +373,7 @@
             )
         finally:
             self._writing.discard(plan.domain)
-            self.look_soon()
+            self.refresh_soon()
 
 
 def _group_name(order: Order) -> str:
--- a/src/oleanderhill/groups/ownership.py
+++ b/src/oleanderhill/groups/ownership.py
@@ -13,7 +13,7 @@
 PRESENCE_PREFIX = "oleanderhill/entry/"
 
 
-STRONG = 0.5
+STRONG_FRACTION = 0.5
 """Fraction of the highest strength from which a machine counts as strong. Machines of the same type
 differ by less than this, machine types in a fleet by more."""
 
@@ -51,7 +51,7 @@
     return msgspec.json.decode(data, type=Presence)
 
 
-def ranked(key: str, presences: Iterable[Presence], count: int = 1) -> tuple[str, ...]:
+def rank_by_strength(key: str, presences: Iterable[Presence], count: int = 1) -> tuple[str, ...]:
     """Return the entry hosts to use for a role, in order of preference, strong machines first.
 
     A role that serves many hosts needs a strong machine: after a power failure all neighbours of a
@@ -59,7 +59,7 @@
     receive it.
     """
     found = list(presences)
-    threshold = STRONG * max((p.strength for p in found), default=0.0)
+    threshold = STRONG_FRACTION * max((p.strength for p in found), default=0.0)
     strong = [p.name for p in found if p.strength >= threshold]
     weak = [p.name for p in found if p.strength < threshold]
     return (*rendezvous(key, strong, count), *rendezvous(key, weak, count))[:count]
@@ -67,22 +67,22 @@
 
 def preferred_owner(domain: str, alive: Mapping[str, Presence]) -> str:
     """Return the entry host that should take over a domain without an owner."""
-    return ranked(domain, alive.values())[0]
+    return rank_by_strength(domain, alive.values())[0]
 
 
 def owns(plan: DomainPlan, me: Presence) -> bool:
     """Return whether this incarnation of the entry host may give orders in a domain."""
-    return (plan.owner, plan.owner_life) == (me.name, me.life)
+    return (plan.owner, plan.owner_incarnation) == (me.name, me.life)
 
 
 def should_take(plan: DomainPlan, me: Presence, alive: Mapping[str, Presence]) -> bool:
     """Return whether this host should take over a domain, because its owner is gone."""
     owner = alive.get(plan.owner)
-    if owner is not None and owner.life == plan.owner_life:
+    if owner is not None and owner.life == plan.owner_incarnation:
         return False
     return me.name in alive and preferred_owner(plan.domain, alive) == me.name
 
 
 def taken_over(plan: DomainPlan, me: Presence) -> DomainPlan:
     """Return the plan under a new owner; the higher term fences off the previous owner."""
-    return plan._replace(owner=me.name, owner_life=me.life, term=plan.term + 1)
+    return plan._replace(owner=me.name, owner_incarnation=me.life, term=plan.term + 1)
--- a/src/oleanderhill/groups/plans.py
+++ b/src/oleanderhill/groups/plans.py
@@ -16,15 +16,15 @@
 PLAN_PREFIX = "oleanderhill/plan/"
 
 
-TERMS_LEFT_OUT = 100
+SKIPPED_TERMS = 100
 """Terms to skip after a restore: upper bound on those assigned since the backup."""
 
-EPOCHS_LEFT_OUT = 1_000
+SKIPPED_EPOCHS = 1_000
 """Epochs to skip after a restore: upper bound on those assigned since the backup. A domain forms a
 few groups per second at most, and a backup is some seconds old."""
 
 
-PLANS_OUTLAST = 60.0
+PLAN_RETENTION_SECONDS = 60.0
 """Seconds for which a plan that is missing from a restored store is retained. Its owner, or the
 host that takes the domain over, writes it again within two seconds."""
 
@@ -62,7 +62,7 @@
 
     domain: str
     owner: str = ""
-    owner_life: str = ""
+    owner_incarnation: str = ""
     term: int = 0
     last_epoch: int = 0
     groups: tuple[PlannedGroup, ...] = ()
@@ -81,7 +81,7 @@
         return self._replace(groups=tuple(g for g in self.groups if g.name != name))
 
 
-def outlasts(held: DomainPlan, read: DomainPlan) -> bool:
+def supersedes(held: DomainPlan, read: DomainPlan) -> bool:
     """Return whether the plan held in memory is newer than the one read from a restored store.
 
     A plan written since the restore takes precedence, whatever it was based on, because its owner
@@ -90,7 +90,7 @@
     return (held.generation, held.term, held.version) > (read.generation, read.term, read.version)
 
 
-def renewed(plan: DomainPlan, generation: int) -> DomainPlan:
+def in_new_generation(plan: DomainPlan, generation: int) -> DomainPlan:
     """Return a plan as it is to be written in a new generation of the store.
 
     Engine hosts may know terms and epochs that were assigned after the backup, while the restored
@@ -101,8 +101,8 @@
         return plan._replace(generation=generation)
     return plan._replace(
         generation=generation,
-        term=plan.term + TERMS_LEFT_OUT,
-        last_epoch=plan.last_epoch + EPOCHS_LEFT_OUT,
+        term=plan.term + SKIPPED_TERMS,
+        last_epoch=plan.last_epoch + SKIPPED_EPOCHS,
     )
 
 
--- a/src/oleanderhill/groups/presence.py
+++ b/src/oleanderhill/groups/presence.py
@@ -31,15 +31,15 @@
 FIRST_RETRY = 0.3
 """Seconds until the first retry. A single lost answer must not let the lease expire."""
 
-LONGEST_RETRY = 1.0
+MAX_RETRY_SECONDS = 1.0
 """Maximum seconds between retries. Rejected calls cost resources too, and the store may reject a
 third of the hosts for many seconds. A host must be present again within this time after the store
 recovers, before other hosts take over its domains."""
 
 
-def retry_after(failures: int) -> float:
+def renew_retry_delay(failures: int) -> float:
     """Return the delay in seconds after a number of consecutive failures."""
-    return min(LONGEST_RETRY, FIRST_RETRY * 2.0 ** min(failures - 1, 4))
+    return min(MAX_RETRY_SECONDS, FIRST_RETRY * 2.0 ** min(failures - 1, 4))
 
 
 class PresenceTask(Task):
@@ -88,7 +88,7 @@
             lease = self._lease
             held = await self._acquire_lease() if lease is None else await self._renew(lease)
             failures = 0 if held else failures + 1
-            wait = RENEW_INTERVAL if held else retry_after(failures)
+            wait = RENEW_INTERVAL if held else renew_retry_delay(failures)
             await asyncio.sleep(wait * (0.8 + 0.2 * self._rng.random()))
 
     async def _renew(self, lease: Lease) -> bool:
--- a/src/oleanderhill/groups/probing.py
+++ b/src/oleanderhill/groups/probing.py
@@ -13,7 +13,7 @@
 ROUND_INTERVAL = 0.1
 """Seconds between probe rounds of a group with a silent member."""
 
-LONGEST_PAUSE = 0.8
+MAX_ROUND_INTERVAL = 0.8
 """Maximum seconds between probe rounds. A member that fails after all have answered is detected
 within this time; its missing heartbeats would show only after three intervals, over three
 seconds."""
@@ -46,7 +46,7 @@
         self._in_progress.discard(group)
         pause = ROUND_INTERVAL if silent else self._pause.get(group, ROUND_INTERVAL)
         self._next_at[group] = now + pause
-        self._pause[group] = ROUND_INTERVAL if silent else min(LONGEST_PAUSE, 2 * pause)
+        self._pause[group] = ROUND_INTERVAL if silent else min(MAX_ROUND_INTERVAL, 2 * pause)
 
     def retain(self, planned: Collection[str]) -> None:
         """Discard the state of groups that are no longer planned."""
--- a/src/oleanderhill/groups/readers.py
+++ b/src/oleanderhill/groups/readers.py
@@ -15,13 +15,13 @@
 
 from ..clients.httpcall import HttpCaller
 from ..clients.keyed import KeyedCopy
-from ..clients.readings import Source, StoreSource
 from ..clients.relay import PeerSource
 from ..clients.storage import Revision, Storage
+from ..clients.store_reads import Source, StoreSource
 from ..exceptions import NoReadingError, StoreError
 from ..ownership import rendezvous
 from ..records import Records
-from .ownership import PRESENCE_PREFIX, Presence, ranked
+from .ownership import PRESENCE_PREFIX, Presence, rank_by_strength
 
 AVOID_SILENT_SECONDS = 2.0
 """Seconds for which an entry host that did not answer is not asked. A failed reader loses its lease
@@ -35,7 +35,7 @@
 resources too. Readers keep calling the store, and hosts that poll them learn immediately when it
 recovers."""
 
-URGENT = 0.3
+STORE_FIRST_SECONDS = 0.3
 """Seconds after a peer failed to answer in which the store is tried first. The wait for the peer
 has used most of the time within which a change must take effect. A reader whose main reader is
 frozen reports after 0.85 s that it has no reading; asking the frozen one next would take another
@@ -45,7 +45,7 @@
 def reader_of(data_centre: str, alive: Mapping[str, Presence]) -> Presence | None:
     """Return the entry host that reads the store for a data centre."""
     local = [p for p in alive.values() if p.data_centre == data_centre]
-    names = ranked(f"reader/{data_centre}", local)
+    names = rank_by_strength(f"reader/{data_centre}", local)
     return alive[names[0]] if names else None
 
 
@@ -81,7 +81,7 @@
 
     :param entries: presences of the entry hosts, as cached by the mirror
     :param held: returns the cached revisions, by key, of the keys that freshness checks cover
-    :param prove: called with the time at which the cached data was verified to be current
+    :param record_verified: called with the time at which the cached data was verified to be current
     """
 
     def __init__(
@@ -92,24 +92,24 @@
         entries: KeyedCopy[Presence],
         caller: HttpCaller,
         held: Callable[[], Mapping[str, Revision]],
-        prove: Callable[[float], None],
+        record_verified: Callable[[float], None],
         records: Records,
     ) -> None:
         self._me = me
         self._storage = storage
-        self._store = StoreSource(storage, prefixes, held, prove, records)
+        self._store = StoreSource(storage, prefixes, held, record_verified, records)
         self._entries = entries
         self._caller = caller
         self._avoid_until: dict[str, float] = {}
         self._store_first_until = float("-inf")
-        self._introduced = False
+        self._presences_loaded = False
         self._reads_store = False
         self._peers: Sequence[Source] = ()
         self._entries_seen = -1
 
     async def in_order(self, now: float) -> Sequence[Source]:
         """Return the sources to try, without those that are temporarily avoided."""
-        if not self._introduced:
+        if not self._presences_loaded:
             await self._load_presences(now)
         self._update_peers()
         if self._reads_store:
@@ -126,7 +126,7 @@
             return
         self._entries_seen = self._entries.changes
         alive = {p.name: p for p in self._entries.by_key.values()}
-        self._reads_store = self._store.checks = reads_store(self._me, alive)
+        self._reads_store = self._store.run_freshness_checks = reads_store(self._me, alive)
         self._peers = [
             PeerSource(p.name, p.address, self._caller) for p in peers_to_ask(self._me, alive)
         ]
@@ -139,7 +139,7 @@
             seconds = (
                 AVOID_EMPTY_SECONDS if isinstance(error, NoReadingError) else AVOID_SILENT_SECONDS
             )
-            self._store_first_until = now + URGENT
+            self._store_first_until = now + STORE_FIRST_SECONDS
         self._avoid_until[source.name] = now + seconds
 
     def _not_avoided(self, sources: Sequence[Source], now: float) -> list[Source]:
@@ -150,4 +150,4 @@
         found = await self._storage.list(PRESENCE_PREFIX)
         if is_successful(found):
             self._entries.replace(found.unwrap().items, now)
-            self._introduced = True
+            self._presences_loaded = True
--- a/src/oleanderhill/groups/spares.py
+++ b/src/oleanderhill/groups/spares.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Mapping, Sequence
 
-from .actions import OrderEnd, Stage, Warm
+from .actions import OrderOutcome, Stage, Warm
 from .composing import FreeHost, ModelNeed
 from .inventory import Instance, MemberState, TargetHost
 from .pacing import LoadPacer
@@ -48,14 +48,14 @@
         """Return whether a host's last known group served a model."""
         return self._warm.get(instance) == model
 
-    def ended(self, order: Stage, end: OrderEnd, now: float) -> None:
+    def ended(self, order: Stage, end: OrderOutcome, now: float) -> None:
         """Record the outcome of an order to load.
 
         An order that started no load must not count as a running load. It blocked the only
         concurrent load that a domain may have for three times the load time: a group that lacked
         one host stayed incomplete for 19 s, with two free hosts without weights beside it.
         """
-        if end != OrderEnd.DONE:
+        if end != OrderOutcome.DONE:
             self._loading.pop(order.instance, None)
             self._load_again_at[order.instance] = now + LOAD_RETRY_SECONDS
 
--- a/src/oleanderhill/journal/once.py
+++ b/src/oleanderhill/journal/once.py
@@ -49,7 +49,7 @@
     at: int = 0
     status: int = 0
     answer: bytes = b""
-    answer_kept: bool = False
+    answer_stored: bool = False
 
 
 class Batch(NamedTuple):
@@ -154,7 +154,7 @@
     is_stored = answer is not None and len(answer) <= MAX_STORED_ANSWER
     stored_answer = answer if is_stored and answer is not None else b""
     return claim._replace(
-        kind=RowKind.DONE, status=status, answer=stored_answer, answer_kept=is_stored
+        kind=RowKind.DONE, status=status, answer=stored_answer, answer_stored=is_stored
     )
 
 
@@ -260,7 +260,7 @@
             self._pending_batch = None
         effects: list[Effect] = []
         for row in batch.rows:
-            granted = self._take(row)
+            granted = self._apply_row(row)
             waiting = self._waiting.pop(row.nonce, None) if row.kind == RowKind.CLAIM else None
             if waiting is not None:
                 effects.append(self._decision(waiting, granted))
@@ -273,7 +273,7 @@
             self._pending_batch = None
         return effects
 
-    def _take(self, row: Row) -> bool:
+    def _apply_row(self, row: Row) -> bool:
         """Apply one row to the keys; return whether it is a granted claim."""
         held = self.by_key.get(row.key)
         if row.kind == RowKind.CLAIM:
--- a/src/oleanderhill/members/wire.py
+++ b/src/oleanderhill/members/wire.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..clients.packing import grow, shrink
+from ..clients.compression import compress_message, decompress_message
 from ..kernel import Received
 
 Decoders = Mapping[str, "msgspec.msgpack.Decoder[Any]"]
@@ -54,7 +54,9 @@
     """Return the encoded and compressed message."""
     raw = msgspec.Raw(_ENCODER.encode(body))
     kind = type(body).__name__
-    return shrink(_ENCODER.encode(Envelope(kind, sender, address, incarnation, stamp, raw)))
+    return compress_message(
+        _ENCODER.encode(Envelope(kind, sender, address, incarnation, stamp, raw))
+    )
 
 
 def decode_message(data: bytes, arrived: float, decoders: Decoders) -> Received | None:
@@ -62,7 +64,7 @@
 
     :raises msgspec.DecodeError: if the bytes are malformed
     """
-    envelope = _ENVELOPE_DECODER.decode(grow(data))
+    envelope = _ENVELOPE_DECODER.decode(decompress_message(data))
     decoder = decoders.get(envelope.kind)
     if decoder is None:
         return None
--- a/src/oleanderhill/operators/server.py
+++ b/src/oleanderhill/operators/server.py
@@ -128,7 +128,7 @@
                 "domain": e.domain,
                 "whole": e.view.whole,
                 "takes_requests": router.may_send(group, e.view.epoch, now),
-                "evidence_age": round(now - e.proven_at, 2),
+                "evidence_age": round(now - e.verified_at, 2),
                 "hosts": [m.host for m in e.view.members],
                 "load": [e.view.running, e.view.waiting, e.view.capacity],
             }
--- a/src/oleanderhill/platform/configuration.py
+++ b/src/oleanderhill/platform/configuration.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Mapping, Sequence
 
-from ..clients.currency import Currency
+from ..clients.freshness import Freshness
 from ..clients.storage import Change, Item, Revision
 from ..records import Records
 from ..settings.catalog import Catalog
@@ -19,7 +19,7 @@
     :ivar loaded: event that is set once a configuration has been applied
     """
 
-    def __init__(self, freshness: Currency, records: Records) -> None:
+    def __init__(self, freshness: Freshness, records: Records) -> None:
         self._freshness = freshness
         self._records = records
         self._current: Change | None = None
@@ -55,7 +55,7 @@
         self._apply(catalog, Change(key, value, revision))
         return True
 
-    def kept(self) -> Sequence[Change]:
+    def retained(self) -> Sequence[Change]:
         """Return the current configuration while the store has an older one, otherwise nothing."""
         return () if self._current is None or self._older_revision is None else (self._current,)
 
--- a/src/oleanderhill/platform/entry.py
+++ b/src/oleanderhill/platform/entry.py
@@ -13,39 +13,39 @@
 import time
 from collections.abc import Mapping, Sequence
 
-from ..clients.currency import Currency
+from ..clients.freshness import Freshness
 from ..clients.httpcall import HttpCaller
 from ..clients.keyed import KeyedCopy
-from ..clients.listening import Listening, listening
-from ..clients.mirror import Follower, Mirror, follow
+from ..clients.listening import ListenStatus, check_listening
+from ..clients.mirror import Mirror, Subscription, subscribe
 from ..clients.relay import RelayServer
 from ..clock import awake_or_not, processor_seconds
 from ..exceptions import OleanderhillError
 from ..exposition import Exposition
 from ..groups.inventory import Inventory, Removal
-from ..groups.owner import Limits, OwnerTask
+from ..groups.owner import LoadLimits, OwnerTask
 from ..groups.ownership import PRESENCE_PREFIX, Presence, decode_presence
-from ..groups.plans import PLAN_PREFIX, PLANS_OUTLAST, decode_plan, outlasts
+from ..groups.plans import PLAN_PREFIX, PLAN_RETENTION_SECONDS, decode_plan, supersedes
 from ..groups.presence import LEASE_SECONDS, PresenceTask
 from ..groups.readers import ReadingSources
 from ..kernel import Kernel
 from ..outcomes import Problem
 from ..records import Records, keep_flushing, log_bounded
 from ..routing.backoffs import Backoffs
-from ..routing.target_limits import Asked, TargetLimits
-from ..serving.admission import ReturningCallers, admit
+from ..routing.target_limits import CallKind, TargetLimits
+from ..serving.admission import RetryDetector, admit
+from ..serving.context import ForwardingContext
 from ..serving.driver import Exchange
 from ..serving.forwarding import Notice
-from ..serving.front import CallerSink, Front, Serve
+from ..serving.front import CallerSink, Front, ServeCallbacks
 from ..serving.gossip import GossipTask
 from ..serving.incoming import Incoming
 from ..serving.leaving import LeavingTargets
 from ..serving.notices import TargetNotices
-from ..serving.placing import Candidate, LoadBook
+from ..serving.placement import Candidate, LoadTracker
 from ..serving.quarantine import QUARANTINE_PREFIX, QuarantineTask
 from ..serving.retries import SharedRetryBudget
-from ..serving.target_limits import Source, TargetLimitTask
-from ..serving.tools import Tools
+from ..serving.target_limits import StatementSource, TargetLimitTask
 from ..serving.view import ServingView
 from ..settings.catalog import Catalog, pick_backend
 from ..vitals import VitalsTask
@@ -99,7 +99,7 @@
         self._output = log_bounded(descriptor)
         self._started_at = awake_or_not()
         self._retry_budget_by_service: dict[str, SharedRetryBudget] = {}
-        self._retry_detector = ReturningCallers()
+        self._retry_detector = RetryDetector()
         self._max_entry_hosts = 1
         self._request_seen = False
         self.exposition = Exposition()
@@ -110,17 +110,17 @@
         self.kernel = Kernel()
         self._caller = HttpCaller()
         self._store = PlatformStore(s.store, HttpCaller(), records)
-        self._freshness = Currency(s.key_removal)
+        self._freshness = Freshness(s.key_removal)
         self._configuration = ConfigurationCopy(self._freshness, records)
         self._inventory = Inventory()
         self._hosts = HostList(
             self._inventory, records, self._drop_incarnation, ENTRY_REWRITE_SECONDS
         )
-        self._plans = KeyedCopy(decode_plan, records, outlasts, PLANS_OUTLAST)
-        self._presences = KeyedCopy(decode_presence, records, lost_last=LEASE_SECONDS)
+        self._plans = KeyedCopy(decode_plan, records, supersedes, PLAN_RETENTION_SECONDS)
+        self._presences = KeyedCopy(decode_presence, records, retain_missing_s=LEASE_SECONDS)
         self._view = ServingView(self._inventory, self._plans, rng)
         limits = TargetLimits(s.host)
-        self._book = LoadBook(s.data_centre, rng, limits, Backoffs())
+        self._book = LoadTracker(s.data_centre, rng, limits, Backoffs())
         own_presence = Presence(s.host, secrets.token_hex(4), s.peers, s.data_centre, s.strength)
         self._quarantine = QuarantineTask(
             self.kernel,
@@ -140,7 +140,7 @@
             self._presences,
             HttpCaller(),
             self._configuration.revisions,
-            self._freshness.prove,
+            self._freshness.record_verified,
             records,
         )
         self._mirror = Mirror(
@@ -149,7 +149,7 @@
             self._freshness,
             followers,
             self._on_store_read,
-            self._inventory.doubt,
+            self._inventory.extend_grace,
             ENTRY_REWRITE_SECONDS,
             records,
             rng,
@@ -158,7 +158,7 @@
             self.kernel, own_presence, self._store, self._presences, records, rng
         )
         self._orders = EngineOrders(
-            HttpCaller(), self._apply_notice, lambda instance: self._notices.may_ask(instance)
+            HttpCaller(), self._apply_notice, lambda instance: self._notices.may_contact(instance)
         )
         self._limits = TargetLimitTask(
             self.kernel,
@@ -166,7 +166,7 @@
             self._inventory,
             self._view.groups,
             self._orders.answers,
-            self._orders.may_ask,
+            self._orders.may_contact,
             records,
         )
         leaving = LeavingTargets(self._inventory, self._refresh_targets, records)
@@ -183,27 +183,27 @@
             self._inventory,
             lambda: self._catalog,
             self._orders,
-            Limits(s.load_window, s.load_factor),
+            LoadLimits(s.load_window, s.load_factor),
             self._loads_exempt,
             lambda group: self._book.is_suspect(group, time.monotonic()),
             self._view.demand,
-            self._view.filled,
+            self._view.occupied_groups,
             records,
         )
         self._codec = HeaderCodec(self._log_unknown_header)
-        self._tools = Tools(
+        self._context = ForwardingContext(
             self._codec,
             self._caller,
             self._book,
             records,
             self._view.candidates,
-            self._view.waiting,
+            self._view.max_waiting,
             self._retry_delay,
             self.exposition.request,
             self._quarantine,
             self._notices,
         )
-        serving = Serve(self._serve, self._ready, self._max_body_bytes)
+        serving = ServeCallbacks(self._serve, self._ready, self._max_body_bytes)
         self.front = Front(
             self.kernel, s.callers, s.balancer, s.grace, self._codec, serving, records
         )
@@ -271,31 +271,31 @@
         flushing.cancel()
         self._output.flush()
 
-    def _subscriptions(self) -> Sequence[Follower]:
+    def _subscriptions(self) -> Sequence[Subscription]:
         return (
-            Follower(
+            Subscription(
                 CONFIGURATION_KEY,
                 self._configuration.replace,
                 self._configuration.change,
-                kept=self._configuration.kept,
+                retained=self._configuration.retained,
             ),
-            follow(HOSTS_PREFIX, self._hosts),
-            follow(PLAN_PREFIX, self._plans),
-            follow(PRESENCE_PREFIX, self._presences),
-            follow(QUARANTINE_PREFIX, self._quarantine),
+            subscribe(HOSTS_PREFIX, self._hosts),
+            subscribe(PLAN_PREFIX, self._plans),
+            subscribe(PRESENCE_PREFIX, self._presences),
+            subscribe(QUARANTINE_PREFIX, self._quarantine),
         )
 
     def _drop_incarnation(self, removal: Removal) -> None:
         """Drop the state of an ended incarnation; requests in flight there may have crashed it."""
         self._caller.forget(removal.address)
         self._orders.close_idle_connections(removal.address)
-        self._quarantine.over(str(removal.instance), "removed from the host list")
-        self._notices.over(str(removal.instance))
+        self._quarantine.incarnation_ended(str(removal.instance), "removed from the host list")
+        self._notices.incarnation_ended(str(removal.instance))
 
     def _apply_notice(self, incarnation: str, notice: Notice, sent_at: float) -> None:
         """Apply the notice in a reply to an order or probe, and count it in the host's limit."""
-        self._book.limits.spend(incarnation, time.monotonic())
-        self._notices.take(incarnation, notice, Source(Asked.CONTROL, sent_at))
+        self._book.limits.count_without_permit(incarnation, time.monotonic())
+        self._notices.apply(incarnation, notice, StatementSource(CallKind.CONTROL, sent_at))
 
     def _retry_delay(self, service: str, model: str) -> float:
         """Return the seconds after which a rejected caller may retry."""
@@ -303,16 +303,18 @@
         now = time.monotonic()
         limited_for = self._book.limited_for(candidates, model, now)
         backoff_left = self._book.backoff_left(candidates, now)
-        return self._view.come_back(service, model, limited_for, backoff_left)
+        return self._view.retry_delay(service, model, limited_for, backoff_left)
 
-    async def _check_target(self, name: str, address: str) -> Listening:
+    async def _check_target(self, name: str, address: str) -> ListenStatus:
         """Check whether a target with lost connections is up and is the same incarnation."""
-        incarnation = self._inventory.life_of(name)
+        incarnation = self._inventory.incarnation_of(name)
         if incarnation is None or not self._inventory.by_instance[incarnation].domain:
-            return await listening(address)
-        if self._orders.may_ask(incarnation) and await self._orders.answers(incarnation, address):
-            return Listening.THE_SAME
-        return await listening(address)
+            return await check_listening(address)
+        if self._orders.may_contact(incarnation) and await self._orders.answers(
+            incarnation, address
+        ):
+            return ListenStatus.SAME_INCARNATION
+        return await check_listening(address)
 
     @property
     def _catalog(self) -> Catalog | None:
@@ -323,20 +325,20 @@
         self._plans.expire(now)
         self._presences.expire(now)
         self._update_host_count()
-        self._request_seen = self._request_seen or self._book.any_load()
+        self._request_seen = self._request_seen or self._book.has_load()
         self._refresh_targets()
         at = time.monotonic()
-        self._view.measure(
+        self._view.update_demand(
             lambda target: self._book.load(target, at),
-            lambda model: self._book.turned_away(model, at),
-            self._book.taken_by_limits,
+            lambda model: self._book.rejections(model, at),
+            self._book.slots_lost_to_limits,
         )
 
     def _refresh_targets(self) -> None:
         """Recompute the targets if hosts or plans have changed."""
         if self._view.refresh(self._catalog):
             self._quarantine.count_targets(self._view.targets())
-            self._owner.look_soon()
+            self._owner.refresh_soon()
 
     def _update_host_count(self) -> None:
         self._max_entry_hosts = max(self._max_entry_hosts, len(self._presence.alive()))
@@ -363,7 +365,7 @@
         return self._settings.first_start and just_started and not self._request_seen
 
     def _ready(self) -> bool:
-        return self._catalog is not None and self._freshness.holds(awake_or_not())
+        return self._catalog is not None and self._freshness.is_fresh(awake_or_not())
 
     def _max_body_bytes(self) -> int:
         return self._catalog.max_body if self._catalog is not None else 4 * 1024 * 1024
@@ -372,10 +374,10 @@
         self._request_seen = True
         await self._await_configuration(incoming)
         now = awake_or_not()
-        current = self._freshness.holds(now)
+        current = self._freshness.is_fresh(now)
         accepted = admit(self._catalog, current, incoming.facts, host, path)
         if isinstance(accepted, Problem):
-            sink.refuse(accepted)
+            sink.reject(accepted)
             self._records.request(
                 incoming.facts.request_id,
                 accepted.kind,
@@ -391,17 +393,17 @@
         service = pick_backend(accepted.route, self._rng)
         budget = self._retry_budget(service)
         budget.request(time.monotonic())
-        caller_timeout = incoming.facts.patience
-        is_retry = self._retry_detector.came_back(
+        caller_timeout = incoming.facts.caller_timeout
+        is_retry = self._retry_detector.is_retry(
             accepted.route.name, caller_timeout, incoming.first_on_connection
         )
-        await Exchange(self._tools, incoming, accepted, service, budget, sink, is_retry).run()
+        await Exchange(self._context, incoming, accepted, service, budget, sink, is_retry).run()
 
     async def _await_configuration(self, incoming: Incoming) -> None:
         """Wait for the first configuration, within a fraction of the caller timeout."""
         if self._catalog is not None:
             return
-        caller_timeout = incoming.facts.patience
+        caller_timeout = incoming.facts.caller_timeout
         seconds = CONFIGURATION_WAIT_SECONDS
         if caller_timeout is not None:
             seconds = min(seconds, caller_timeout * CONFIGURATION_WAIT_FRACTION)
--- a/src/oleanderhill/platform/headers.py
+++ b/src/oleanderhill/platform/headers.py
@@ -9,7 +9,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-from ..serving.forwarding import Facts, NamedLimit, Notice, Reading
+from ..serving.forwarding import Notice, ReplyInfo, RequestInfo, StatedLimit
 
 REQUEST_ID = "Attempt-Id"
 DEADLINE = "Deadline-Ms"
@@ -88,12 +88,12 @@
         self._on_unknown = on_unknown
         self._unknown_names: set[str] = set()
 
-    def read_request(self, headers: HTTPHeaders) -> Facts:
+    def read_request(self, headers: HTTPHeaders) -> RequestInfo:
         """Decode the headers of a caller's request."""
         scheme, _, key = headers.get(AUTHORIZATION, "").partition(" ")
         last = headers.get(LAST_EVENT, "")
         wait = _parse_milliseconds(headers.get(DEADLINE))
-        return Facts(
+        return RequestInfo(
             headers.get(REQUEST_ID, ""),
             wait,
             key.strip() if scheme.lower() == "bearer" else "",
@@ -122,12 +122,12 @@
             sent[LAST_EVENT] = str(last_event)
         return sent
 
-    def read_reply(self, status: int, headers: HTTPHeaders) -> Reading:
+    def read_reply(self, status: int, headers: HTTPHeaders) -> ReplyInfo:
         """Decode the status and headers of a target's reply."""
         self._report_unknown_headers(headers)
         other = status == WRONG_INSTANCE_STATUS
         not_run = NOT_RUN in headers or other
-        return Reading(not_run, SEAL in headers, not other, read_notice(status, headers))
+        return ReplyInfo(not_run, SEAL in headers, not other, read_notice(status, headers))
 
     def _report_unknown_headers(self, headers: HTTPHeaders) -> None:
         for name in headers:
@@ -137,7 +137,7 @@
                 self._unknown_names.add(name)
                 self._on_unknown(name, headers[name])
 
-    def belongs(self, request_id: str, headers: HTTPHeaders) -> bool:
+    def is_reply_to(self, request_id: str, headers: HTTPHeaders) -> bool:
         """Return whether a reply belongs to this request.
 
         A target's answer repeats the request id. A signed answer without an id is a late duplicate
@@ -153,7 +153,7 @@
         """Return the headers of a target's reply that is forwarded to the caller."""
         return _forwarded_headers(headers, frozenset())
 
-    def refusal(self, request_id: str, retry_after: float | None) -> Mapping[str, str]:
+    def problem_headers(self, request_id: str, retry_after: float | None) -> Mapping[str, str]:
         """Return the headers of a rejection that this entry host generates."""
         headers = {"Content-Type": "application/json"}
         if request_id:
@@ -170,7 +170,7 @@
     return Notice(named_limit(headers), backoff, leaving)
 
 
-def named_limit(headers: HTTPHeaders) -> NamedLimit | None:
+def named_limit(headers: HTTPHeaders) -> StatedLimit | None:
     """Return the lowest rate limit that a reply states, or ``None`` if it states none."""
     named = [part for value in headers.get_list(LIMIT) for part in value.split(",")]
     return min(map(_parse_limit, named), key=lambda n: n.rate or 0.0, default=None)
@@ -196,12 +196,12 @@
         return UNREADABLE_BACKOFF
 
 
-def _parse_limit(text: str) -> NamedLimit:
+def _parse_limit(text: str) -> StatedLimit:
     number = text.strip()[:_MAX_NUMBER_CHARS]
     if len(text.strip()) > _MAX_NUMBER_CHARS or not _DECIMAL.fullmatch(number):
-        return NamedLimit(None, number)
+        return StatedLimit(None, number)
     rate = float(number)
-    return NamedLimit(max(0.0, rate) if math.isfinite(rate) else None, number)
+    return StatedLimit(max(0.0, rate) if math.isfinite(rate) else None, number)
 
 
 def _forwarded_headers(headers: HTTPHeaders, excluded: frozenset[str]) -> HTTPHeaders:
--- a/src/oleanderhill/platform/orders.py
+++ b/src/oleanderhill/platform/orders.py
@@ -12,7 +12,7 @@
 from returns.result import Result
 
 from ..clients.httpcall import Call, CallFailure, HttpCaller, Reply
-from ..groups.actions import Join, Leave, Open, Order, OrderEnd, Stage, Warm
+from ..groups.actions import Join, Leave, Open, Order, OrderOutcome, Stage, Warm
 from ..groups.inventory import Instance
 from ..serving.forwarding import Notice
 from .decoding import decode_report
@@ -25,11 +25,11 @@
 """Seconds; probes go to hosts whose group was observed to stall, and use no slot of the engine."""
 
 _OUTCOME_BY_STATUS = {
-    200: OrderEnd.DONE,
-    202: OrderEnd.DONE,
-    409: OrderEnd.UNFIT,
-    412: OrderEnd.FENCED,
-    WRONG_INSTANCE_STATUS: OrderEnd.GONE,
+    200: OrderOutcome.DONE,
+    202: OrderOutcome.DONE,
+    409: OrderOutcome.UNFIT,
+    412: OrderOutcome.FENCED,
+    WRONG_INSTANCE_STATUS: OrderOutcome.GONE,
 }
 
 
@@ -71,7 +71,7 @@
     """Sends orders and probes to engine hosts.
 
     :param on_notice: called with a host's incarnation, the notice in its reply and the send time
-    :param may_ask: returns whether anything may be sent to an incarnation now
+    :param may_contact: returns whether anything may be sent to an incarnation now
     :ivar orders_sent: number of orders sent
     :ivar asked: number of probes sent
     """
@@ -80,22 +80,22 @@
         self,
         caller: HttpCaller,
         on_notice: Callable[[str, Notice, float], None],
-        may_ask: Callable[[Instance], bool],
+        may_contact: Callable[[Instance], bool],
     ) -> None:
         self._caller = caller
         self._on_notice = on_notice
-        self.may_ask = may_ask
+        self.may_contact = may_contact
         self.orders_sent = 0
         self.asked = 0
 
-    async def give(self, order: Order, address: str, term: int) -> OrderEnd:
+    async def send(self, order: Order, address: str, term: int) -> OrderOutcome:
         """Send an order and return its outcome.
 
         The order names the instance, so that another host with the same address rejects it, and the
         term, so that a host rejects orders of an owner that has been replaced.
         """
-        if not self.may_ask(order.instance):
-            return OrderEnd.HELD_BACK
+        if not self.may_contact(order.instance):
+            return OrderOutcome.HELD_BACK
         self.orders_sent += 1
         body = msgspec.json.encode({**_body(order), "fencing_token": term})
         headers = {"Content-Type": "application/json", EXPECT_INSTANCE: order.instance.name}
@@ -111,9 +111,9 @@
         )
         found = await self._call_host(order.instance, call)
         if is_successful(found):
-            return _OUTCOME_BY_STATUS.get(found.unwrap().status, OrderEnd.SILENT)
+            return _OUTCOME_BY_STATUS.get(found.unwrap().status, OrderOutcome.SILENT)
         # A refused connection doesn't prove that the host is down: a partition may cause it too.
-        return OrderEnd.SILENT
+        return OrderOutcome.SILENT
 
     async def _call_host(self, instance: Instance, call: Call) -> Result[Reply, CallFailure]:
         sent_at = time.monotonic()
--- a/src/oleanderhill/requests/attempts.py
+++ b/src/oleanderhill/requests/attempts.py
@@ -155,7 +155,7 @@
 class Budget(Protocol):
     """Limits retries, that is, attempts after the first."""
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Return the number of retries available."""
 
     def take(self, now: float) -> bool:
@@ -185,7 +185,7 @@
         """Add the retry allowance of a new request."""
         self._tokens = min(self.CAP, self._tokens + self._ratio)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Return the number of retries available."""
         self._tokens = min(self.CAP, self._tokens + self._floor * max(0.0, now - self._refilled_at))
         self._refilled_at = now
@@ -193,7 +193,7 @@
 
     def take(self, now: float) -> bool:
         """Consume one retry; return whether one was available."""
-        if self.left(now) < 1.0:
+        if self.remaining(now) < 1.0:
             return False
         self._tokens -= 1.0
         return True
@@ -262,7 +262,7 @@
         if self.phase == Phase.DONE or self._attempts_exhausted(now):
             return False
         repeatable = self.request.idempotent or not self.sent
-        return repeatable and (self.arrived == 0 or self._budget.left(now) >= 1.0)
+        return repeatable and (self.arrived == 0 or self._budget.remaining(now) >= 1.0)
 
     def _attempts_exhausted(self, now: float) -> bool:
         """Return whether no further attempt is allowed.
--- a/src/oleanderhill/requests/exchange.py
+++ b/src/oleanderhill/requests/exchange.py
@@ -19,7 +19,7 @@
 from ..clients.targets import TargetClient
 from ..decisions import Decisions
 from ..outcomes import Problem
-from ..routing.router import Choice, NoChoice, Wanted
+from ..routing.router import Choice, NoChoice, Requirements
 from ..routing.waiting import Waiter
 from . import attempts
 from .attempts import Effect, Event, Request, RequestMachine, RetryBudget
@@ -62,7 +62,7 @@
     """Selects targets for requests: groups of a model, or targets of a plain service."""
 
     async def acquire(
-        self, waiter: Waiter, requirements: Wanted, exclude: frozenset[str]
+        self, waiter: Waiter, requirements: Requirements, exclude: frozenset[str]
     ) -> Choice | NoChoice:
         """Select a target, waiting for free capacity. It must be released afterwards."""
 
@@ -91,7 +91,7 @@
 
     request: Request
     account: str
-    requirements: Wanted
+    requirements: Requirements
     priority: int
     method: str
     path: str
@@ -406,7 +406,7 @@
         self._body_chunks: list[bytes] = []
         self._has_forwarded = False
 
-    def sending(self) -> bool:
+    def confirm_send(self) -> bool:
         return self._exchange.begin_sending(self._number, self._choice)
 
     def headers(self, status: int, headers: HTTPHeaders) -> None:
--- a/src/oleanderhill/requests/handlers.py
+++ b/src/oleanderhill/requests/handlers.py
@@ -20,7 +20,7 @@
 from ..metrics import Metrics
 from ..outcomes import Problem, ProblemError, Ran
 from ..routing.dispatch import RouterTask
-from ..routing.router import Wanted
+from ..routing.router import Requirements
 from ..routing.services import ServiceFinder
 from ..settings.fleet import AccountView, Fleet, find_by_key
 from ..settings.schema import PlainService
@@ -258,7 +258,7 @@
     def _answer_duplicate(self, decided: Decided) -> None:
         row = decided.row
         match decided.verdict:
-            case Verdict.DONE if row is not None and row.answer_kept:
+            case Verdict.DONE if row is not None and row.answer_stored:
                 self.set_status(row.status)
                 self.set_header("X-Idempotent-Replay", "true")
                 self.set_header("X-Request-Ran", Ran.YES.value)
@@ -333,7 +333,7 @@
         key = self.idempotency_key(self.is_marked_not_repeatable())
         self.edge.admit(account)
         stream = parsed.get("stream") is True
-        requirements = Wanted(
+        requirements = Requirements(
             f"{account.team}/{name.model}", name.version, name.adapter, self._prefix(parsed)
         )
         request = Request(self.request_id, not key, stream, deadline)
@@ -419,7 +419,7 @@
         outgoing = TargetRequest(
             Request(self.request_id, idempotent, False, deadline),
             account.account,
-            Wanted(f"{account.team}/{name}"),
+            Requirements(f"{account.team}/{name}"),
             account.priority,
             method,
             path + query,
--- a/src/oleanderhill/requests/suspects.py
+++ b/src/oleanderhill/requests/suspects.py
@@ -15,14 +15,14 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from ..clients.listening import LOOK_AFTER, Listening, listening
+from ..clients.listening import CHECK_DELAYS, ListenStatus, check_listening
 from ..clock import awake_or_not
 from ..decisions import Decisions
 from ..kernel import Kernel, Received, Task
 from ..members.task import MembershipTask
 from ..members.wire import SendTo
 from ..outcomes import Problem, Ran
-from ..routing.endings import EndingBook, EndingNews
+from ..routing.crashes import CrashTracker, EndingNews
 from ..types import Member
 
 UPDATE_FANOUT = 3
@@ -49,7 +49,7 @@
         rng: random.Random,
         decisions: Decisions,
         targets: Callable[[], int],
-        probe: Callable[[str], Awaitable[Listening]] = listening,
+        probe: Callable[[str], Awaitable[ListenStatus]] = check_listening,
     ) -> None:
         super().__init__(kernel)
         self._host = host
@@ -57,7 +57,7 @@
         self._decisions = decisions
         self._targets = targets
         self._probe = probe
-        self._tracker = EndingBook()
+        self._tracker = CrashTracker()
         self._full_update_at = float("-inf")
 
     def rejection_for(self, identity: str, ran: Ran) -> Problem | None:
@@ -94,7 +94,7 @@
         full = now - self._full_update_at >= FULL_UPDATE_INTERVAL
         if full:
             self._full_update_at = now
-        updates = self._tracker.news(self._host, now, full)
+        updates = self._tracker.pending_updates(self._host, now, full)
         if not updates:
             return
         live = self.kernel.find("membership", MembershipTask).live()
@@ -110,16 +110,17 @@
     @receive.register
     def _(self, body: EndingNews, envelope: Received) -> None:
         self._log_quarantined(
-            self._tracker.hear(body, awake_or_not()), f"reported by {envelope.sender}"
+            self._tracker.apply_peer_update(body, awake_or_not()), f"reported by {envelope.sender}"
         )
 
     async def _confirm_crash(self, incarnation: str, address: str) -> None:
         """Probe the target's address, and confirm the crash once a connection is refused."""
-        for seconds in LOOK_AFTER:
+        for seconds in CHECK_DELAYS:
             await asyncio.sleep(seconds)
-            if await self._probe(address) == Listening.REFUSED:
+            if await self._probe(address) == ListenStatus.REFUSED:
                 self._log_quarantined(
-                    self._tracker.over(incarnation, awake_or_not()), f"{incarnation} crashed"
+                    self._tracker.confirm_ended(incarnation, awake_or_not()),
+                    f"{incarnation} crashed",
                 )
                 return
 
--- a/src/oleanderhill/routing/backoffs.py
+++ b/src/oleanderhill/routing/backoffs.py
@@ -30,15 +30,15 @@
     """
 
     def __init__(self) -> None:
-        self._backoff_by_life: dict[str, _Backoff] = {}
+        self._backoff_by_incarnation: dict[str, _Backoff] = {}
         self.asked = 0
         self.held_back = 0
 
-    def ask(self, incarnation: str, seconds: float, now: float) -> bool:
+    def extend(self, incarnation: str, seconds: float, now: float) -> bool:
         """Record a back-off request of a target; return whether it extends the back-off."""
-        backoff = self._backoff_by_life.get(incarnation)
+        backoff = self._backoff_by_incarnation.get(incarnation)
         if backoff is None:
-            backoff = self._backoff_by_life[incarnation] = _Backoff(float("-inf"))
+            backoff = self._backoff_by_incarnation[incarnation] = _Backoff(float("-inf"))
         backoff.on_trial = False
         if now + seconds <= backoff.until:
             return False
@@ -46,20 +46,20 @@
         self.asked += 1
         return True
 
-    def left(self, incarnation: str, now: float) -> float:
+    def remaining(self, incarnation: str, now: float) -> float:
         """Return the seconds left of a target's back-off, 0 if it is over or there is none."""
-        backoff = self._backoff_by_life.get(incarnation)
+        backoff = self._backoff_by_incarnation.get(incarnation)
         return 0.0 if backoff is None else max(0.0, backoff.until - now)
 
     def may_send(self, incarnation: str, now: float) -> bool:
         """Return whether a target's back-off is over or there is none."""
-        return self.left(incarnation, now) <= 0.0
+        return self.remaining(incarnation, now) <= 0.0
 
-    def may_take(self, incarnation: str, now: float) -> bool:
+    def may_place(self, incarnation: str, now: float) -> bool:
         """Return whether a request may be placed at a target; after a back-off, one trial at a
         time.
         """
-        backoff = self._backoff_by_life.get(incarnation)
+        backoff = self._backoff_by_incarnation.get(incarnation)
         return backoff is None or (backoff.until <= now and not backoff.on_trial)
 
     def take(self, incarnation: str) -> bool:
@@ -67,43 +67,43 @@
 
         The end of a trial must be recorded with :meth:`trial_ended`.
         """
-        backoff = self._backoff_by_life.get(incarnation)
+        backoff = self._backoff_by_incarnation.get(incarnation)
         if backoff is None:
             return False
         backoff.on_trial = True
         return True
 
-    def trial_taken(self, incarnation: str, now: float) -> bool:
+    def trial_accepted(self, incarnation: str, now: float) -> bool:
         """Record that a target accepted its trial; return whether that removed its back-off."""
         if not self.may_send(incarnation, now):
             return False
-        return self._backoff_by_life.pop(incarnation, None) is not None
+        return self._backoff_by_incarnation.pop(incarnation, None) is not None
 
     def trial_ended(self, incarnation: str) -> None:
         """Record that a trial is over, whatever its result."""
-        backoff = self._backoff_by_life.get(incarnation)
+        backoff = self._backoff_by_incarnation.get(incarnation)
         if backoff is not None:
             backoff.on_trial = False
 
     def forget(self, incarnation: str) -> None:
         """Drop the back-off of an incarnation that has ended."""
-        self._backoff_by_life.pop(incarnation, None)
+        self._backoff_by_incarnation.pop(incarnation, None)
 
     def active(self, now: float) -> Collection[str]:
         """Return the incarnations whose back-off is not over."""
         return [
             incarnation
-            for incarnation, backoff in self._backoff_by_life.items()
+            for incarnation, backoff in self._backoff_by_incarnation.items()
             if backoff.until > now
         ]
 
-    def until_one_ends(self, incarnations: Collection[str], now: float) -> float | None:
+    def seconds_to_first_end(self, incarnations: Collection[str], now: float) -> float | None:
         """Return the seconds until the first of some targets may be tried.
 
         :return: ``None`` if at least one of them has no back-off
         """
         if not incarnations or any(
-            incarnation not in self._backoff_by_life for incarnation in incarnations
+            incarnation not in self._backoff_by_incarnation for incarnation in incarnations
         ):
             return None
-        return min(self.left(incarnation, now) for incarnation in incarnations)
+        return min(self.remaining(incarnation, now) for incarnation in incarnations)
--- a/src/oleanderhill/routing/wholeness.py
+++ b/src/oleanderhill/routing/completeness.py
@@ -58,7 +58,7 @@
     return MemberFault.LOADING
 
 
-def judge(
+def evaluate_group(
     record: GroupRecord,
     seen_by_host: Mapping[str, SeenReport],
     now: float,
@@ -95,7 +95,7 @@
 
     :param leaving_hosts: hosts that are leaving according to the platform's list or a report
     """
-    verdict = judge(record, seen_by_host, now)
+    verdict = evaluate_group(record, seen_by_host, now)
     leaving = verdict.leaving or any(m.host in leaving_hosts for m in record.members)
     draining = record.phase == GroupPhase.DRAINING
     head = seen_by_host.get(record.head.host)
--- a/src/oleanderhill/routing/endings.py
+++ b/src/oleanderhill/routing/crashes.py
@@ -7,10 +7,11 @@
 
 A crash counts only when the incarnation of the target is known to be over: its address refuses
 connections, or the host list says so. A lost connection alone does not count. A request is
-quarantined when it was in flight at :data:`ENOUGH` crashes and those of them that no other suspect
-explains are :data:`UNLIKELY` times less likely by chance, at the rate of crashes without it. A
-request that has since received a complete answer is cleared. Requests that were in flight at the
-same crashes cannot be told apart; none of them is quarantined until their crashes differ.
+quarantined when it was in flight at :data:`MIN_CRASHES` crashes and those of them that no other
+suspect explains are :data:`MIN_LIKELIHOOD_RATIO` times less likely by chance, at the rate of
+crashes without it. A request that has since received a complete answer is cleared. Requests that
+were in flight at the same crashes cannot be told apart; none of them is quarantined until their
+crashes differ.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 
 _Value = TypeVar("_Value")
 
-ENOUGH = 3
+MIN_CRASHES = 3
 """Crashes with a request in flight that are required to quarantine it. When a whole data centre is
 lost, many requests see two by chance."""
 
-UNLIKELY = 1_000_000
+MIN_LIKELIHOOD_RATIO = 1_000_000
 """Factor by which the crashes must be less likely by chance than caused by the request."""
 
 MIN_RUN_TIME = 0.1
@@ -43,17 +44,17 @@
 """Crashes that quarantine a request however many other crashes there were. A caller makes two tries
 at two targets, so a request that only ran beside others is in flight at four at most."""
 
-LIFE_PROVED_WITHIN = 15.0
+CRASH_CONFIRMED_WITHIN = 15.0
 """Seconds after a loss within which the incarnation must be known to be over. The list drops a host
 after three missed heartbeats, 3.6 s, and a store that was down shows it up to two seconds later."""
 
-HOLD = 1.0
-"""Seconds after a loss for which a request with :data:`ENOUGH` crashes waits for its next try. The
-result of that try reaches every host before the next one, and no other request accompanies it from
-crash to crash. With one try at a time, five crashes identify any culprit, and a harmless request
-loses one second."""
+HOLD_SECONDS = 1.0
+"""Seconds after a loss for which a request with :data:`MIN_CRASHES` crashes waits for its next try.
+The result of that try reaches every host before the next one, and no other request accompanies it
+from crash to crash. With one try at a time, five crashes identify any culprit, and a harmless
+request loses one second."""
 
-REMEMBERED = 600.0
+QUARANTINE_SECONDS = 600.0
 """Seconds for which a crash counts and a quarantined request is rejected: the longest lease of the
 store. After that, one more crash quarantines the request again."""
 
@@ -61,15 +62,15 @@
 """Seconds after a loss from which on bytes from an incarnation prove that it is alive. Earlier ones
 may have been waiting in a socket when it crashed."""
 
-ENDINGS_KEPT = 64
+MAX_CRASHES = 64
 MAX_IN_FLIGHT_PER_CRASH = 64
 """Requests stored for one crash; engines run 10 to 13 at once and queue a few."""
 
-QUARANTINED_KEPT = 256
+MAX_QUARANTINED = 256
 MAX_CLEARED = 256
 """Bounds on the stored requests, however many arrive."""
 
-REPEATED_FOR = 0.5
+REPEAT_SECONDS = 0.5
 """Seconds for which an update is included in every report, five times, so that the loss of one
 datagram loses no update."""
 
@@ -93,7 +94,7 @@
     """
 
     age: float
-    lives: tuple[str, ...]
+    incarnations: tuple[str, ...]
 
 
 class EndingNews(msgspec.Struct, omit_defaults=True, tag="endings"):
@@ -123,7 +124,7 @@
         self.changed_at = at
 
 
-class EndingBook:
+class CrashTracker:
     """The crashes that this entry host observed or learned from peers.
 
     ``targets`` is the number of targets that serve now; the rate of crashes by chance is per
@@ -153,19 +154,19 @@
         self._add_to_crash(incarnation, now, {identity: ran_for}, now)
         return new
 
-    def over(self, incarnation: str, now: float) -> list[str]:
+    def confirm_ended(self, incarnation: str, now: float) -> list[str]:
         """Record that an incarnation is over; return the requests that this quarantines.
 
         Without a recent loss it does not count as a crash, as targets may also stop as planned.
         """
         crash = self._crash_by_incarnation.get(incarnation)
-        if crash is None or crash.confirmed or now - crash.at > LIFE_PROVED_WITHIN:
+        if crash is None or crash.confirmed or now - crash.at > CRASH_CONFIRMED_WITHIN:
             return []
         crash.confirmed, crash.changed_at = True, now
         self._evaluated = False
         return self._quarantine_suspects(now)
 
-    def lives(self, incarnation: str, now: float, asked: bool = False) -> bool:
+    def record_sign_of_life(self, incarnation: str, now: float, asked: bool = False) -> bool:
         """Record a sign of life; return whether it cancels a recorded crash.
 
         :param asked: whether it answers a probe that was sent after the loss
@@ -174,7 +175,7 @@
         if crash is None or (now - crash.at < SIGN_OF_LIFE_DELAY and not asked):
             return False
         del self._crash_by_incarnation[incarnation]
-        _put_bounded(self._alive_at, incarnation, now, ENDINGS_KEPT)
+        _put_bounded(self._alive_at, incarnation, now, MAX_CRASHES)
         return True
 
     def answered(self, identity: str, now: float) -> tuple[bool, list[str]]:
@@ -183,7 +184,7 @@
         :return: whether the request was suspected, and the requests that are quarantined because
             this one no longer explains their crashes
         """
-        if not self.suspicion(identity) and identity not in self._quarantined_at:
+        if not self.loss_count(identity) and identity not in self._quarantined_at:
             return False, []
         self._mark_cleared(identity, now)
         return True, self._quarantine_suspects(now)
@@ -197,13 +198,13 @@
             return False
         is_new = identity not in self._quarantined_at
         if is_new:
-            _put_bounded(self._quarantined_at, identity, at, QUARANTINED_KEPT)
+            _put_bounded(self._quarantined_at, identity, at, MAX_QUARANTINED)
             self._incarnations_by_quarantined[identity] = incarnations
             for gone in self._incarnations_by_quarantined.keys() - self._quarantined_at.keys():
                 del self._incarnations_by_quarantined[gone]
         return is_new
 
-    def recall(
+    def restore_crashes(
         self, in_flight_by_incarnation: Mapping[str, Mapping[str, float]], now: float
     ) -> list[str]:
         """Restore crashes from before the start of this process; return the requests quarantined.
@@ -219,12 +220,12 @@
                 crash.confirmed, self._evaluated = True, False
         return self._quarantine_suspects(now)
 
-    def take_suspected(self) -> list[str]:
-        """Return the requests that reached :data:`ENOUGH` crashes since the previous call."""
+    def pop_new_suspects(self) -> list[str]:
+        """Return the requests that reached :data:`MIN_CRASHES` crashes since the previous call."""
         found, self._newly_suspected = self._newly_suspected, []
         return found
 
-    def endings_of(self, identity: str) -> dict[str, dict[str, float]]:
+    def crashes_of(self, identity: str) -> dict[str, dict[str, float]]:
         """Return the incarnations that crashed under a request, with all requests in flight."""
         return {
             incarnation: dict(c.in_flight)
@@ -242,7 +243,7 @@
         self._incarnations_by_quarantined.pop(identity, None)
         for crash in self._crash_by_incarnation.values():
             crash.in_flight.pop(identity, None)
-        _put_bounded(self._probation_until, identity, now + REMEMBERED, QUARANTINED_KEPT)
+        _put_bounded(self._probation_until, identity, now + QUARANTINE_SECONDS, MAX_QUARANTINED)
 
     # Queries
 
@@ -263,16 +264,16 @@
         wait = self.hold(identity, now)
         return held_back(wait, ran) if wait else None
 
-    def suspicion(self, identity: str) -> int:
+    def loss_count(self, identity: str) -> int:
         """Return at how many losses a request was in flight, confirmed as crashes or not."""
         return sum(identity in c.in_flight for c in self._crash_by_incarnation.values())
 
     def hold(self, identity: str, now: float) -> float:
         """Return the seconds that a request must wait before its next try, 0 for none."""
         lost = [c for c in self._crash_by_incarnation.values() if identity in c.in_flight]
-        if sum(c.confirmed for c in lost) < ENOUGH:
+        if sum(c.confirmed for c in lost) < MIN_CRASHES:
             return 0.0
-        return max(0.0, HOLD - (now - max(c.at for c in lost)))
+        return max(0.0, HOLD_SECONDS - (now - max(c.at for c in lost)))
 
     @property
     def sizes(self) -> tuple[int, int]:
@@ -281,12 +282,12 @@
 
     # Updates between entry hosts
 
-    def news(self, sender: str, now: float, again: bool) -> list[EndingNews]:
+    def pending_updates(self, sender: str, now: float, again: bool) -> list[EndingNews]:
         """Return the updates to send to peers, each of which fits into a datagram.
 
         :param again: whether to include what was sent before
         """
-        within = RESEND_SECONDS if again else REPEATED_FOR
+        within = RESEND_SECONDS if again else REPEAT_SECONDS
         due_crashes = [
             (n, c) for n, c in self._crash_by_incarnation.items() if now - c.changed_at <= within
         ]
@@ -306,24 +307,26 @@
         updates += [
             EndingNews(sender, living={n: living[n] for n in c}) for c in _chunks([*living])
         ]
-        due = [i for i, at in self._quarantined_at.items() if again or now - at <= REPEATED_FOR]
+        due = [i for i, at in self._quarantined_at.items() if again or now - at <= REPEAT_SECONDS]
         for chunk in _chunks(due, QUARANTINED_PER_DATAGRAM):
             rows = {i: self._quarantined_row(i, now) for i in chunk}
             updates.append(EndingNews(sender, quarantined=rows))
         return updates
 
-    def hear(self, news: EndingNews, now: float) -> list[str]:
+    def apply_peer_update(self, update: EndingNews, now: float) -> list[str]:
         """Apply an update of a peer; return the requests that this quarantines."""
-        for identity, age in news.cleared.items():
+        for identity, age in update.cleared.items():
             if now - age > self._cleared_at.get(identity, float("-inf")) + SIGN_OF_LIFE_DELAY:
                 self._mark_cleared(identity, now - age)
-        for incarnation, age in news.living.items():
-            if self.lives(incarnation, now - age):
+        for incarnation, age in update.living.items():
+            if self.record_sign_of_life(incarnation, now - age):
                 self._alive_at[incarnation] = now - age
         found = [
-            i for i, row in news.quarantined.items() if self.quarantine(i, row.lives, now - row.age)
+            i
+            for i, row in update.quarantined.items()
+            if self.quarantine(i, row.incarnations, now - row.age)
         ]
-        for incarnation, (age, confirmed, in_flight) in news.endings.items():
+        for incarnation, (age, confirmed, in_flight) in update.endings.items():
             crash = self._add_to_crash(incarnation, now - age, in_flight, now)
             if crash is not None and confirmed and not crash.confirmed:
                 crash.confirmed, crash.changed_at = True, now
@@ -333,12 +336,14 @@
     def forget(self, now: float) -> None:
         """Drop expired entries and release requests whose quarantine is over."""
         for incarnation, crash in list(self._crash_by_incarnation.items()):
-            if now - crash.at > (REMEMBERED if crash.confirmed else LIFE_PROVED_WITHIN):
+            if now - crash.at > (QUARANTINE_SECONDS if crash.confirmed else CRASH_CONFIRMED_WITHIN):
                 del self._crash_by_incarnation[incarnation]
-        for identity in [i for i, at in self._quarantined_at.items() if now - at > REMEMBERED]:
+        for identity in [
+            i for i, at in self._quarantined_at.items() if now - at > QUARANTINE_SECONDS
+        ]:
             self.release(identity, now)
         for table in (self._cleared_at, self._alive_at, self._probation_until):
-            for key in [k for k, at in table.items() if now - at > REMEMBERED]:
+            for key in [k for k, at in table.items() if now - at > QUARANTINE_SECONDS]:
                 del table[key]
 
     def _quarantined_row(self, identity: str, now: float) -> Quarantined:
@@ -357,7 +362,7 @@
         crash = self._crash_by_incarnation.get(incarnation)
         if crash is None:
             crash = _Crash(at)
-            _put_bounded(self._crash_by_incarnation, incarnation, crash, ENDINGS_KEPT)
+            _put_bounded(self._crash_by_incarnation, incarnation, crash, MAX_CRASHES)
         for identity, seconds in in_flight.items():
             cleared = self._cleared_at.get(identity, float("-inf")) > at
             if (
@@ -398,7 +403,7 @@
         confirmed = _incarnations_by_identity(
             {n: c for n, c in self._crash_by_incarnation.items() if c.confirmed}
         )
-        suspected = {i for i, held in confirmed.items() if len(held) >= ENOUGH}
+        suspected = {i for i, held in confirmed.items() if len(held) >= MIN_CRASHES}
         self._newly_suspected += sorted(suspected - self._suspected - self._quarantined_at.keys())
         self._suspected = suspected
         return found
@@ -420,7 +425,7 @@
             if self._probation_until.get(identity, float("-inf")) > now:
                 return identity
             incarnations, others = all_by_identity[identity], suspects - {identity}
-            if len(incarnations) < ENOUGH or any(
+            if len(incarnations) < MIN_CRASHES or any(
                 incarnations <= all_by_identity[i] for i in others
             ):
                 continue
@@ -446,7 +451,9 @@
         )
         rate = (by_chance + 1) / (max(1, self.targets) * (until - since))
         unshared = [c.in_flight[identity] for c in own if not c.in_flight.keys() & others]
-        return math.prod(1 / (rate * max(MIN_RUN_TIME, s)) for s in unshared) >= UNLIKELY
+        return (
+            math.prod(1 / (rate * max(MIN_RUN_TIME, s)) for s in unshared) >= MIN_LIKELIHOOD_RATIO
+        )
 
 
 def _incarnations_by_identity(crash_by_incarnation: Mapping[str, _Crash]) -> dict[str, set[str]]:
--- a/src/oleanderhill/routing/dispatch.py
+++ b/src/oleanderhill/routing/dispatch.py
@@ -18,15 +18,15 @@
 from ..settings.fleet import Fleet
 from ..settings.messages import FleetChanged, HostsChanged
 from ..types import GroupRecord, HostState, SeenReport
-from .evidence import EvidenceBook
+from .evidence import EvidenceTracker
 from .messages import DomainEvidence, LocalEvidence, RecordsWanted
-from .router import Choice, Evidence, NoChoice, Router, Wanted
+from .router import Choice, Evidence, NoChoice, Requirements, Router
 from .waiting import Waiter, WaitingQueue
 
 TICK_SECONDS = 0.2
 SELF_PROBE_INTERVAL = 0.6
 MAX_CONCURRENT_SELF_PROBES = 4
-PATIENCE = 3.0
+GROUP_WAIT_TIMEOUT = 3.0
 """Seconds that a request waits for a group to become complete before it is rejected."""
 
 
@@ -48,7 +48,7 @@
         self.router = Router(data_centre, rng)
         self._targets = targets
         self._decisions = decisions
-        self.book = EvidenceBook(self.router)
+        self.book = EvidenceTracker(self.router)
         self._queue_by_model: dict[str, WaitingQueue] = {}
         self._wake_event_by_request: dict[str, asyncio.Event] = {}
         self._watch_by_run: dict[str, tuple[str, int, Callable[[], None]]] = {}
@@ -61,7 +61,7 @@
     # Requests
 
     async def acquire(
-        self, waiter: Waiter, wanted: Wanted, exclude: frozenset[str]
+        self, waiter: Waiter, wanted: Requirements, exclude: frozenset[str]
     ) -> Choice | NoChoice:
         """Return a group for a request, waiting in the model's queue until one is available."""
         queue = self._queue(wanted.model)
@@ -103,10 +103,10 @@
         self._watch_by_run.pop(run, None)
 
     async def _wait(
-        self, queue: WaitingQueue, waiter: Waiter, wanted: Wanted, exclude: frozenset[str]
+        self, queue: WaitingQueue, waiter: Waiter, wanted: Requirements, exclude: frozenset[str]
     ) -> Choice | NoChoice:
         wake_event = self._wake_event_by_request[waiter.request_id] = asyncio.Event()
-        wait_ends = time.monotonic() + PATIENCE
+        wait_ends = time.monotonic() + GROUP_WAIT_TIMEOUT
         try:
             while True:
                 now = time.monotonic()
--- a/src/oleanderhill/routing/evidence.py
+++ b/src/oleanderhill/routing/evidence.py
@@ -11,10 +11,10 @@
 
 from ..kernel import Received
 from ..types import GroupRecord, GroupView, SeenReport
+from .completeness import EVIDENCE_MAX_AGE, evaluate_group, view_of
 from .messages import DomainEvidence, GroupState
 from .router import Evidence, Router
 from .skew import ClockOffsets
-from .wholeness import EVIDENCE_MAX_AGE, judge, view_of
 
 SELF_PROBE_AFTER = 1.7
 """Age of evidence, in seconds, at which an entry host probes the members itself, as their owner may
@@ -35,7 +35,7 @@
     records: tuple[GroupRecord, ...]
 
 
-class EvidenceBook:
+class EvidenceTracker:
     """Applies evidence to the router's view.
 
     :param router: the router to update
@@ -45,7 +45,7 @@
         self.router = router
         self.records_by_domain: dict[str, DomainRecords] = {}
         self.owner_by_domain: dict[str, str] = {}
-        self.heard_at_by_domain: dict[str, float] = {}
+        self.received_at_by_domain: dict[str, float] = {}
         self._offsets = ClockOffsets()
 
     def receive(self, body: DomainEvidence, envelope: Received) -> bool:
@@ -54,11 +54,11 @@
         Return whether the domain's records are needed to read it.
         """
         self.owner_by_domain[body.domain] = envelope.sender
-        self.heard_at_by_domain[body.domain] = envelope.arrived
+        self.received_at_by_domain[body.domain] = envelope.arrived
         sent_at = self._offsets.sent_at(
             envelope.sender, envelope.incarnation, envelope.stamp, envelope.arrived
         )
-        self._keep(body)
+        self._store_records(body)
         # Until the sender's clock offset is known, the message may be old: it may have waited in
         # a socket.
         if sent_at is None:
@@ -70,7 +70,7 @@
 
         Return whether the records for its states are known.
         """
-        self._keep(body)
+        self._store_records(body)
         known = self.records_by_domain.get(body.domain)
         if known is None or (known.owner_epoch, known.version) < (body.owner_epoch, body.version):
             return False
@@ -88,7 +88,7 @@
         found = []
         for evidence in self.router.stale(now, SELF_PROBE_AFTER):
             view = evidence.view
-            if now - evidence.proven_at > FORGET_AFTER:
+            if now - evidence.verified_at > FORGET_AFTER:
                 self.router.by_group.pop(view.group, None)
             else:
                 found.append((evidence, _make_record(view)))
@@ -103,15 +103,15 @@
         now: float,
     ) -> None:
         """Apply the members' reports of this host's own probe of a group."""
-        if not judge(record, seen_by_host, now, EVIDENCE_MAX_AGE).whole:
+        if not evaluate_group(record, seen_by_host, now, EVIDENCE_MAX_AGE).whole:
             return
         view = view_of(record, seen_by_host, frozenset(), now)
         # Only the owner knows of a drain; the members' reports do not show it.
         draining = evidence.view.whole and not evidence.view.accepting
         view = view._replace(accepting=view.accepting and not draining)
-        self.router.learn(evidence._replace(view=view, proven_at=sent_at))
+        self.router.learn(evidence._replace(view=view, verified_at=sent_at))
 
-    def _keep(self, body: DomainEvidence) -> None:
+    def _store_records(self, body: DomainEvidence) -> None:
         """Store the records of a domain if they are newer, compared by owner epoch first.
 
         An owner that continued without saving may have reached a higher version than its successor.
--- a/src/oleanderhill/routing/router.py
+++ b/src/oleanderhill/routing/router.py
@@ -14,7 +14,7 @@
 
 from ..ownership import rendezvous
 from ..types import GroupView, Member
-from .wholeness import EVIDENCE_MAX_AGE
+from .completeness import EVIDENCE_MAX_AGE
 
 REPORT_LAG = 0.5
 """Seconds by which the load that engines report lags."""
@@ -33,24 +33,24 @@
 """Ratio of estimated load to capacity at which a group gets no more requests: one batch waits."""
 
 EJECT_SECONDS = 5.0
-EJECT_LIMIT = 1 / 3
+MAX_EJECTED_FRACTION = 1 / 3
 """Maximum fraction of a model's groups that is ejected, as overload can look like failure."""
 
 
 class Evidence(NamedTuple):
     """The state of a group as known to this entry host.
 
-    :param proven_at: local time for which the evidence holds: all members were probed after it
+    :param verified_at: local time for which the evidence holds: all members were probed after it
     """
 
     view: GroupView
     data_centre: str
     domain: str
     owner_epoch: int
-    proven_at: float
+    verified_at: float
 
 
-class Wanted(NamedTuple):
+class Requirements(NamedTuple):
     """Requirements of a request on its group. An empty version matches any."""
 
     model: str
@@ -121,7 +121,7 @@
 
     def stale(self, now: float, after: float) -> list[Evidence]:
         """Return the groups whose evidence is older than ``after`` seconds."""
-        return [e for e in self.by_group.values() if now - e.proven_at > after]
+        return [e for e in self.by_group.values() if now - e.verified_at > after]
 
     def may_send(self, group: str, epoch: int, now: float) -> bool:
         """Return whether a request may be sent to this group and epoch now.
@@ -136,7 +136,7 @@
         # host would otherwise get new requests until another host takes the domain over.
         if any(m.host in self.leaving_hosts for m in known.view.members):
             return False
-        return known.view.accepting and now - known.proven_at <= EVIDENCE_MAX_AGE
+        return known.view.accepting and now - known.verified_at <= EVIDENCE_MAX_AGE
 
     def is_still_complete(self, group: str, epoch: int, now: float) -> bool:
         """Return whether requests in flight at a group may continue.
@@ -148,10 +148,10 @@
             return False
         if known.view.epoch != epoch or not known.view.whole:
             return False
-        return now - known.proven_at <= 2 * EVIDENCE_MAX_AGE
+        return now - known.verified_at <= 2 * EVIDENCE_MAX_AGE
 
     def choose(
-        self, wanted: Wanted, now: float, exclude: frozenset[str] = frozenset()
+        self, wanted: Requirements, now: float, exclude: frozenset[str] = frozenset()
     ) -> Choice | NoChoice:
         """Choose a group for a request.
 
@@ -193,7 +193,7 @@
             return False
         peers = [g for g, e in self.by_group.items() if e.view.spec.model == known.view.spec.model]
         ejected = sum(1 for g in peers if self._ejected_until.get(g, 0.0) > now and g != group)
-        if (ejected + 1) > EJECT_LIMIT * len(peers):
+        if (ejected + 1) > MAX_EJECTED_FRACTION * len(peers):
             return False
         self._ejected_until[group] = now + EJECT_SECONDS
         return True
@@ -205,22 +205,22 @@
     def _load(self, evidence: Evidence, now: float) -> float:
         view = evidence.view
         reported = view.running + view.waiting
-        reported_until = evidence.proven_at - REPORT_LAG
+        reported_until = evidence.verified_at - REPORT_LAG
         unreported = sum(1 for t in self._starts.get(view.group, ()) if t >= reported_until)
         own = self.in_flight_by_group.get(view.group, 0)
         load = max(own, reported + min(unreported, own)) / view.capacity
         return load if evidence.data_centre == self.data_centre else load + REMOTE_PENALTY
 
-    def _pick(self, not_full: list[Evidence], wanted: Wanted) -> Choice:
+    def _pick(self, not_full: list[Evidence], wanted: Requirements) -> Choice:
         score_by_group = {e.view.group: self._score(e) for e in not_full}
         least = min(score_by_group.values())
         if wanted.prefix:
             preferred = self._preferred(not_full, score_by_group, least, wanted)
             if preferred is not None:
-                return _choice(preferred, "prefix affinity")
+                return _make_choice(preferred, "prefix affinity")
         least_loaded = [e for e in not_full if score_by_group[e.view.group] <= least + 1e-9]
         best = self._rng.choice(least_loaded)
-        return _choice(best, f"least loaded of {len(not_full)}, score {least:.2f}")
+        return _make_choice(best, f"least loaded of {len(not_full)}, score {least:.2f}")
 
     def _score(self, evidence: Evidence) -> float:
         """Return the load for comparing groups: own requests plus weighted ones of other hosts."""
@@ -235,7 +235,7 @@
         not_full: list[Evidence],
         score_by_group: dict[str, float],
         least: float,
-        wanted: Wanted,
+        wanted: Requirements,
     ) -> Evidence | None:
         """Return a group that likely has the prefix cached.
 
@@ -252,10 +252,10 @@
 
 
 def _rank(evidence: Evidence) -> tuple[int, int, float]:
-    return evidence.owner_epoch, evidence.view.epoch, evidence.proven_at
+    return evidence.owner_epoch, evidence.view.epoch, evidence.verified_at
 
 
-def _offers(view: GroupView, wanted: Wanted) -> bool:
+def _offers(view: GroupView, wanted: Requirements) -> bool:
     spec = view.spec
     if spec.model != wanted.model:
         return False
@@ -264,6 +264,6 @@
     return not wanted.adapter or wanted.adapter in spec.adapters
 
 
-def _choice(evidence: Evidence, reason: str) -> Choice:
+def _make_choice(evidence: Evidence, reason: str) -> Choice:
     view = evidence.view
     return Choice(view.group, view.epoch, view.members[0], evidence.data_centre, reason)
--- a/src/oleanderhill/routing/services.py
+++ b/src/oleanderhill/routing/services.py
@@ -7,7 +7,7 @@
 
 from ..settings.schema import PlainService, ServiceTarget
 from ..types import Member
-from .router import Choice, NoChoice, Wanted, target_id
+from .router import Choice, NoChoice, Requirements, target_id
 from .waiting import Waiter
 
 EJECT_SECONDS = 2.0
@@ -27,7 +27,7 @@
         self.service_by_name: Mapping[tuple[str, str], PlainService] = {}
 
     async def acquire(
-        self, waiter: Waiter, wanted: Wanted, exclude: frozenset[str]
+        self, waiter: Waiter, wanted: Requirements, exclude: frozenset[str]
     ) -> Choice | NoChoice:
         """Return a target of the service that ``wanted.model`` names as ``team/service``."""
         choice = self.choose(wanted.model, waiter.arrived, exclude)
--- a/src/oleanderhill/routing/target_limits.py
+++ b/src/oleanderhill/routing/target_limits.py
@@ -22,27 +22,27 @@
 
 from ..ownership import rendezvous
 
-LEAST_RATE = 0.25
+MIN_RATE = 0.25
 """Lowest rate, in requests a second, at which a limited target is sent requests, even if it states
 less or 0. A target that receives nothing cannot report that its limit has ended."""
 
 BASE_SHARERS = 3
 """Entry hosts that share a limit near zero. Each may exceed its share by one request in a window,
-so this and :data:`SHARERS_BY_RATE` bound the excess."""
+so this and :data:`SHARERS_PER_RATE` bound the excess."""
 
-SHARERS_BY_RATE = 2.0
+SHARERS_PER_RATE = 2.0
 """Additional entry hosts that share a limit, for each request a second."""
 
-TAKE_OVER_WAIT = 4.0
+NEW_SHARER_DELAY = 4.0
 """Seconds that a new sharer waits before it sends: the host that it replaces may have just sent."""
 
-REPEATED_FOR = 0.5
+REPEAT_SECONDS = 0.5
 """Seconds for which a new statement is included in every update to peers; datagrams may be lost."""
 
-AGAIN_EVERY = 0.5
+FULL_UPDATE_INTERVAL = 0.5
 """Seconds between two updates with all statements, for peers that started or were partitioned."""
 
-TIGHTENED = 0.5
+RESTAGGER_BELOW = 0.5
 """Fraction of the previous rate below which a new rate is handled like a first one: the sharers
 start one after the other. Doing so at every change would block all of them while a rate shrinks in
 small steps."""
@@ -50,7 +50,7 @@
 UNREADABLE_RATE = 0.5
 """Requests a second assumed for a limit that cannot be parsed: the target did state a limit."""
 
-STATEMENTS_KEPT = 2_000
+MAX_STATEMENTS = 2_000
 
 MAX_VERSION = 2**40
 """Highest version that is accepted; no target changes its limit so often."""
@@ -59,7 +59,7 @@
 """Statements in one datagram. With names of 32 characters they fit into one frame."""
 
 
-class Asked(StrEnum):
+class CallKind(StrEnum):
     """The kind of call that an answer belongs to."""
 
     REQUEST = "request"
@@ -77,20 +77,20 @@
 
     version: int
     rate: float | None
-    asked: Asked = Asked.REQUEST
+    asked: CallKind = CallKind.REQUEST
 
 
-class LimitNews(msgspec.Struct, tag="limits"):
+class LimitUpdate(msgspec.Struct, tag="limits"):
     """Statements sent from one entry host to its peers, by the target's incarnation."""
 
     sender: str
     statements: dict[str, Statement]
 
 
-class LimitChange(NamedTuple):
+class RateChange(NamedTuple):
     """A change of the limit of one incarnation; ``before`` is the previous rate."""
 
-    life: str
+    incarnation: str
     before: float | None
     rate: float | None
     version: int
@@ -110,7 +110,7 @@
 class Permit(NamedTuple):
     """Permission to send one request to a group of incarnations, the first of which receives it."""
 
-    lives: Sequence[str]
+    incarnations: Sequence[str]
     charge_by_incarnation: Mapping[str, Charge]
 
 
@@ -146,7 +146,7 @@
         return bool(self._limit_by_incarnation)
 
     @property
-    def rate_by_life(self) -> Mapping[str, float]:
+    def rate_by_incarnation(self) -> Mapping[str, float]:
         """Return the limits in force, in requests a second, by incarnation."""
         rates = {
             incarnation: limit.statement.rate
@@ -157,7 +157,7 @@
     @property
     def share(self) -> float:
         """Return the requests a second that this host may send to limited targets."""
-        incarnations = self.rate_by_life
+        incarnations = self.rate_by_incarnation
         return sum(
             1 / _send_interval(limit)
             for limit in map(self._limit_by_incarnation.__getitem__, incarnations)
@@ -172,8 +172,8 @@
     # Statements of targets and peers
 
     def answered(
-        self, incarnation: str, rate: float | None, asked: Asked, asked_at: float, now: float
-    ) -> LimitChange | None:
+        self, incarnation: str, rate: float | None, asked: CallKind, asked_at: float, now: float
+    ) -> RateChange | None:
         """Record the limit that an answer of a target states.
 
         :param rate: the stated rate, ``None`` if the answer states none
@@ -193,20 +193,22 @@
                 )
             return None
         if limit is not None and _is_looser(rate, known):
-            conclusive = asked == Asked.REQUEST or limit.statement.asked == Asked.CONTROL
+            conclusive = asked == CallKind.REQUEST or limit.statement.asked == CallKind.CONTROL
             if not conclusive or asked_at < limit.stated_at:
                 return None
         version = 1 if limit is None else limit.statement.version + 1
         return self._replace_statement(incarnation, Statement(version, rate, asked), now)
 
-    def hear(self, news: LimitNews, listed: Callable[[str], bool], now: float) -> list[LimitChange]:
+    def apply_peer_update(
+        self, update: LimitUpdate, listed: Callable[[str], bool], now: float
+    ) -> list[RateChange]:
         """Apply the statements of another entry host; return the changes.
 
         :param listed: returns whether an incarnation is known; peers may still report one that has
             ended
         """
         changes = []
-        for incarnation, statement in news.statements.items():
+        for incarnation, statement in update.statements.items():
             limit = self._limit_by_incarnation.get(incarnation)
             if (
                 not _is_valid(statement)
@@ -217,18 +219,18 @@
             changes.append(self._replace_statement(incarnation, statement, now))
         return changes
 
-    def news(self, now: float) -> list[LimitNews]:
+    def pending_updates(self, now: float) -> list[LimitUpdate]:
         """Return the updates that are due for the other entry hosts."""
-        include_all = now - self._full_update_at >= AGAIN_EVERY
+        include_all = now - self._full_update_at >= FULL_UPDATE_INTERVAL
         if include_all:
             self._full_update_at = now
         due = [
             (incarnation, limit.statement)
             for incarnation, limit in self._limit_by_incarnation.items()
-            if include_all or now - limit.changed_at < REPEATED_FOR
+            if include_all or now - limit.changed_at < REPEAT_SECONDS
         ]
         return [
-            LimitNews(self._me, dict(due[first : first + STATEMENTS_PER_DATAGRAM]))
+            LimitUpdate(self._me, dict(due[first : first + STATEMENTS_PER_DATAGRAM]))
             for first in range(0, len(due), STATEMENTS_PER_DATAGRAM)
         ]
 
@@ -236,7 +238,7 @@
         """Drop the statement of an incarnation that has ended."""
         self._limit_by_incarnation.pop(incarnation, None)
 
-    def reach(self, hosts: Collection[str], has_peers: bool, now: float) -> None:
+    def update_hosts(self, hosts: Collection[str], has_peers: bool, now: float) -> None:
         """Set the entry hosts that share the limits.
 
         :param hosts: names of the entry hosts that are present
@@ -253,7 +255,7 @@
             old_sharers = limit.sharers
             limit.sharers = self._sharers(incarnation, limit.statement.rate)
             if self._me in limit.sharers and self._me not in old_sharers:
-                limit.next_send_at = max(limit.next_send_at, now + TAKE_OVER_WAIT)
+                limit.next_send_at = max(limit.next_send_at, now + NEW_SHARER_DELAY)
 
     # Sending
 
@@ -280,14 +282,15 @@
         Checks the limits again, as statements may have changed since the target was chosen.
         """
         version_by_incarnation = {
-            k: limit.statement.version for k, limit in self._binding_limits(permit.lives).items()
+            k: limit.statement.version
+            for k, limit in self._binding_limits(permit.incarnations).items()
         }
         if version_by_incarnation == {
             k: t.version for k, t in permit.charge_by_incarnation.items()
         }:
             return True
         self.give_back(permit)
-        return self.take(permit.lives, now) is not None
+        return self.take(permit.incarnations, now) is not None
 
     def give_back(self, permit: Permit) -> None:
         """Return a permit that was not used."""
@@ -297,7 +300,7 @@
                 limit.next_send_at = charge.previous_send_at
                 self.sent -= 1
 
-    def spend(self, incarnation: str, now: float) -> None:
+    def count_without_permit(self, incarnation: str, now: float) -> None:
         """Count a call that needs no permit, such as an order, against the target's limit."""
         limit = self._limit_by_incarnation.get(incarnation)
         if limit is not None and limit.statement.rate is not None:
@@ -311,7 +314,7 @@
         """Return the requests a second that a group accepts, ``None`` for no limit."""
         return min(map(_effective_rate, self._binding_limits(incarnations).values()), default=None)
 
-    def to_ask(self, incarnations: Sequence[str]) -> list[str]:
+    def members_to_probe(self, incarnations: Sequence[str]) -> list[str]:
         """Return the members of a group that this host has to probe for the end of their limit.
 
         These members receive no requests themselves. The first sharer of a limit probes.
@@ -338,7 +341,7 @@
             limit = self._limit_by_incarnation.get(incarnation)
             if limit is None or limit.statement.rate is None:
                 continue
-            if rank == 0 or limit.statement.asked == Asked.CONTROL:
+            if rank == 0 or limit.statement.asked == CallKind.CONTROL:
                 found[incarnation] = limit
         return found
 
@@ -349,10 +352,10 @@
         if rate is None:
             return ()
         # At a rate that exceeds the number of hosts, all of them share the limit.
-        count = BASE_SHARERS + math.floor(SHARERS_BY_RATE * min(rate, len(self._hosts)))
+        count = BASE_SHARERS + math.floor(SHARERS_PER_RATE * min(rate, len(self._hosts)))
         return rendezvous(f"limit/{incarnation}", self._hosts, count)
 
-    def _replace_statement(self, incarnation: str, statement: Statement, now: float) -> LimitChange:
+    def _replace_statement(self, incarnation: str, statement: Statement, now: float) -> RateChange:
         limit = self._limit_by_incarnation.pop(incarnation, None) or _Limit(Statement(0, None), now)
         old_rate, interval = limit.statement.rate, _send_interval(limit)
         limit.statement, limit.changed_at, limit.stated_at = statement, now, now
@@ -363,17 +366,17 @@
             wait = max(0.0, limit.next_send_at - now)
             if old_rate is not None:
                 wait *= _send_interval(limit) / interval
-            if old_rate is None or statement.rate < old_rate * TIGHTENED:
+            if old_rate is None or statement.rate < old_rate * RESTAGGER_BELOW:
                 # The sharers start one after the other: requests that were sent before the
                 # statement arrived count against the new limit too.
                 position = limit.sharers.index(self._me) + 1
                 wait = max(wait, position / _effective_rate(limit))
             limit.next_send_at = now + wait
-        return LimitChange(incarnation, old_rate, statement.rate, statement.version)
+        return RateChange(incarnation, old_rate, statement.rate, statement.version)
 
     def _evict(self) -> None:
         """Drop the least recently changed statement if there are too many, ended limits first."""
-        if len(self._limit_by_incarnation) <= STATEMENTS_KEPT:
+        if len(self._limit_by_incarnation) <= MAX_STATEMENTS:
             return
         ended = (
             k for k, limit in self._limit_by_incarnation.items() if limit.statement.rate is None
@@ -382,7 +385,7 @@
 
 
 def _effective_rate(limit: _Limit) -> float:
-    return max(LEAST_RATE, limit.statement.rate or 0.0)
+    return max(MIN_RATE, limit.statement.rate or 0.0)
 
 
 def _send_interval(limit: _Limit) -> float:
@@ -395,8 +398,8 @@
     return known is not None and (rate is None or rate > known)
 
 
-def _stronger_kind(statement: Statement, asked: Asked) -> Asked:
-    return Asked.REQUEST if Asked.REQUEST in (statement.asked, asked) else Asked.CONTROL
+def _stronger_kind(statement: Statement, asked: CallKind) -> CallKind:
+    return CallKind.REQUEST if CallKind.REQUEST in (statement.asked, asked) else CallKind.CONTROL
 
 
 def _is_valid(statement: Statement) -> bool:
--- a/src/oleanderhill/serving/admission.py
+++ b/src/oleanderhill/serving/admission.py
@@ -6,7 +6,7 @@
 
 from ..outcomes import Problem, Ran, unauthenticated
 from ..settings.catalog import Account, Catalog, Route
-from .forwarding import Facts
+from .forwarding import RequestInfo
 
 STALE_CONFIGURATION_RETRY = 0.4
 """Seconds before the retry of a caller that was rejected because the configuration may be stale:
@@ -28,7 +28,7 @@
 
 
 def admit(
-    catalog: Catalog | None, current: bool, facts: Facts, host: str, path: str
+    catalog: Catalog | None, current: bool, facts: RequestInfo, host: str, path: str
 ) -> Accepted | Problem:
     """Return the route and client account of a request, or why it is rejected.
 
@@ -58,7 +58,7 @@
     return Problem("no-route", 404, Ran.NO, "no route has this host and path")
 
 
-class ReturningCallers:
+class RetryDetector:
     """Distinguishes retries after a rejection from first attempts.
 
     Each attempt has its own id and carries no reference to an earlier one. A retry arrives on a new
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self._longest_timeout_by_route: dict[str, float] = {}
 
-    def came_back(self, route: str, timeout: float | None, first_on_connection: bool) -> bool:
+    def is_retry(self, route: str, timeout: float | None, first_on_connection: bool) -> bool:
         """Record the caller timeout of a request, in seconds, and return whether it is a retry.
 
         :param first_on_connection: whether it is the first request on its connection
--- a/src/oleanderhill/serving/standing.py
+++ b/src/oleanderhill/serving/admission_class.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 
-class Standing(StrEnum):
+class AdmissionClass(StrEnum):
     """Admission class of a request."""
 
     BEGUN = "begun"
@@ -29,49 +29,51 @@
     """The request is a retry after a rejection, or it has waited at a target without an answer."""
 
 
-class Room(NamedTuple):
+class QueueLimit(NamedTuple):
     """Queue limit that applies to a request at a target.
 
-    :param places: load below which a target accepts the request, as a multiple of its slots
+    :param max_load: load below which a target accepts the request, as a multiple of its slots
     :param urgency: offset that is added to the rank of the request there; rank 0 is most urgent
     """
 
-    places: float
+    max_load: float
     urgency: int
 
 
-ROOM_AT_ENGINE: Mapping[Standing, Room] = {
+ENGINE_QUEUE_LIMITS: Mapping[AdmissionClass, QueueLimit] = {
     # Goes first in the engine's queue, and starts when the next slot is free: after 0.1 s.
-    Standing.BEGUN: Room(1.8, -2),
+    AdmissionClass.BEGUN: QueueLimit(1.8, -2),
     # Default without known engine times: with thirteen slots, two requests may wait.
-    Standing.FRESH: Room(1.1, 0),
+    AdmissionClass.FRESH: QueueLimit(1.1, 0),
     # Leaves four of thirteen slots free for requests that can be on time.
-    Standing.LATE: Room(0.7, 3),
+    AdmissionClass.LATE: QueueLimit(0.7, 3),
 }
 """Queue limits at a group of an engine."""
 
-PLAIN_QUEUE_LIMITS: Mapping[Standing, Room] = {
-    Standing.BEGUN: Room(1.8, 0),
-    Standing.FRESH: Room(1.2, 0),
-    Standing.LATE: Room(1.8, 0),
+PLAIN_QUEUE_LIMITS: Mapping[AdmissionClass, QueueLimit] = {
+    AdmissionClass.BEGUN: QueueLimit(1.8, 0),
+    AdmissionClass.FRESH: QueueLimit(1.2, 0),
+    AdmissionClass.LATE: QueueLimit(1.8, 0),
 }
 """Queue limits at a plain target. It takes tens of milliseconds for a request, so that one that
 waits for another is still on time, and a late one delays the others little."""
 
 
-def standing(returned: bool, arrived: int, begun: bool) -> Standing:
+def admission_class(is_retry: bool, arrived: int, begun: bool) -> AdmissionClass:
     """Return the admission class of a request.
 
-    :param returned: whether it is a retry after a rejection
+    :param is_retry: whether it is a retry after a rejection
     :param arrived: number of targets that it was sent to
     :param begun: whether the caller has received the first event
     """
     if begun:
-        return Standing.BEGUN
-    return Standing.LATE if returned or arrived else Standing.FRESH
+        return AdmissionClass.BEGUN
+    return AdmissionClass.LATE if is_retry or arrived else AdmissionClass.FRESH
 
 
-def room(standing: Standing, generates: bool, waiting: float | None = None) -> Room:
+def queue_limit(
+    admission_class: AdmissionClass, generates: bool, waiting: float | None = None
+) -> QueueLimit:
     """Return the queue limit for a request.
 
     :param generates: whether it runs in an engine, for a second or more
@@ -79,8 +81,8 @@
         target's slots; ``None`` if unknown
     """
     if not generates:
-        return PLAIN_QUEUE_LIMITS[standing]
-    limit = ROOM_AT_ENGINE[standing]
-    if standing == Standing.FRESH and waiting is not None:
-        return limit._replace(places=1 + waiting)
+        return PLAIN_QUEUE_LIMITS[admission_class]
+    limit = ENGINE_QUEUE_LIMITS[admission_class]
+    if admission_class == AdmissionClass.FRESH and waiting is not None:
+        return limit._replace(max_load=1 + waiting)
     return limit
