--- a/src/oleanderhill/serving/run.py
+++ b/src/oleanderhill/serving/attempt.py
@@ -10,8 +10,8 @@
 
 from ..clients.httpcall import Observer
 from ..routing.router import Choice
-from .events import EventCutter, EventOrder
-from .forwarding import Reading
+from .events import EventSequence, EventSplitter
+from .forwarding import ReplyInfo
 
 EVENT_STREAM = "text/event-stream"
 
@@ -19,41 +19,41 @@
 class ForwardedRequest(Protocol):
     """The request that an attempt belongs to."""
 
-    order: EventOrder
+    order: EventSequence
 
-    def sending(self) -> bool:
+    def confirm_send(self) -> bool:
         """Return whether the first byte may be sent now, and if so record that it is sent."""
 
-    def read_reply(self, status: int, headers: HTTPHeaders) -> Reading:
+    def read_reply(self, status: int, headers: HTTPHeaders) -> ReplyInfo:
         """Interpret the status and headers of a reply."""
 
-    def heard(self, run: Run, reading: Reading) -> None:
+    def apply_notice(self, run: Attempt, reading: ReplyInfo) -> None:
         """Handle the interpreted head of a reply, before its body arrives."""
 
-    def pass_on(self, run: Run, data: bytes, events: int) -> Awaitable[None] | None:
+    def forward_events(self, run: Attempt, data: bytes, events: int) -> Awaitable[None] | None:
         """Forward complete events to the caller."""
 
 
-class Run(Observer):
+class Attempt(Observer):
     """One attempt of a request; forwards what the target sends."""
 
     def __init__(self, request: ForwardedRequest, choice: Choice) -> None:
         self._request = request
         self.choice = choice
-        self.withheld = False
+        self.not_sent = False
         self.longest_pause = 0.0
-        self._splitter = EventCutter()
+        self._splitter = EventSplitter()
         self.status = 0
         self.reply_headers = HTTPHeaders()
         self.streaming = False
         self.chunks: list[bytes] = []
         self.events = 0
-        self.progressed = time.monotonic()
+        self.last_progress_at = time.monotonic()
         self.fault = ""
 
-    def sending(self) -> bool:
-        if not self._request.sending():
-            self.withheld = True
+    def confirm_send(self) -> bool:
+        if not self._request.confirm_send():
+            self.not_sent = True
             return False
         return True
 
@@ -62,12 +62,12 @@
         self.reply_headers = headers
         content_type = headers.get("Content-Type", "")
         reading = self._request.read_reply(status, headers)
-        self._request.heard(self, reading)
-        self.streaming = status == 200 and content_type.startswith(EVENT_STREAM) and reading.sealed
+        self._request.apply_notice(self, reading)
+        self.streaming = status == 200 and content_type.startswith(EVENT_STREAM) and reading.signed
 
     def data(self, chunk: bytes) -> Awaitable[None] | None:
         if not self.streaming:
-            self.progressed = time.monotonic()
+            self.last_progress_at = time.monotonic()
             self.chunks.append(chunk)
             return None
         if self.fault:
@@ -77,7 +77,7 @@
     def _forward_events(self, chunk: bytes) -> Awaitable[None] | None:
         complete = []
         for event in self._splitter.feed(chunk):
-            if not self._request.order.admit(event):
+            if not self._request.order.accept(event):
                 self.fault = f"event {event.number} does not follow {self._request.order.last}"
                 break
             complete.append(event.data)
@@ -85,12 +85,12 @@
             return None
         now = time.monotonic()
         if self.events:
-            self.longest_pause = max(self.longest_pause, now - self.progressed)
-        self.progressed = now
+            self.longest_pause = max(self.longest_pause, now - self.last_progress_at)
+        self.last_progress_at = now
         self.events += len(complete)
-        return self._request.pass_on(self, b"".join(complete), len(complete))
+        return self._request.forward_events(self, b"".join(complete), len(complete))
 
     @property
-    def torn(self) -> bool:
+    def truncated(self) -> bool:
         """Return whether the stream ended within an event."""
         return bool(self._splitter.rest.strip())
--- a/src/oleanderhill/serving/tools.py
+++ b/src/oleanderhill/serving/context.py
@@ -9,28 +9,28 @@
 from ..records import Records
 from .forwarding import Codec
 from .notices import TargetNotices
-from .placing import Candidate, LoadBook
+from .placement import Candidate, LoadTracker
 from .quarantine import QuarantineTask
 
 
-class Tools(NamedTuple):
+class ForwardingContext(NamedTuple):
     """Dependencies that all forwarded requests of a process share.
 
     :param candidates: returns the targets that currently serve a service and model
-    :param waiting: returns how many requests may queue at a group of a model such that the last one
-        still meets a latency goal, as a fraction of its slots; ``None`` if unknown
-    :param come_back: returns the seconds after which a rejected caller may retry, by service and
+    :param max_waiting: returns how many requests may queue at a group of a model such that the last
+        one still meets a latency goal, as a fraction of its slots; ``None`` if unknown
+    :param retry_delay: returns the seconds after which a rejected caller may retry, by service and
         model
     :param report: records route, outcome and duration in seconds of a finished request
     """
 
     codec: Codec
     caller: HttpCaller
-    book: LoadBook
+    book: LoadTracker
     records: Records
     candidates: Callable[[str, str], Sequence[Candidate]]
-    waiting: Callable[[str, float], float | None]
-    come_back: Callable[[str, str], float]
+    max_waiting: Callable[[str, float], float | None]
+    retry_delay: Callable[[str, str], float]
     report: Callable[[str, str, float], None]
     quarantine: QuarantineTask
     notices: TargetNotices
--- a/src/oleanderhill/serving/driver.py
+++ b/src/oleanderhill/serving/driver.py
@@ -34,20 +34,20 @@
 )
 from ..requests.identity import identity
 from ..routing.router import Choice, NoChoice
-from ..routing.target_limits import Asked, Permit
+from ..routing.target_limits import CallKind, Permit
 from ..settings.catalog import Repeatable
 from ..types import Member
 from .admission import Accepted
-from .events import EventOrder
-from .forwarding import Notice, Reading
-from .incoming import Incoming, Sink
-from .patience import stall_after
-from .placing import Candidate
+from .admission_class import AdmissionClass, QueueLimit, admission_class, queue_limit
+from .attempt import Attempt
+from .context import ForwardingContext
+from .events import EventSequence
+from .forwarding import Notice, ReplyInfo
+from .incoming import Incoming, ResponseSink
+from .placement import Candidate
 from .retries import SharedRetryBudget
-from .run import Run
-from .standing import Room, Standing, room, standing
-from .target_limits import Source
-from .tools import Tools
+from .stall_timeout import stall_timeout_for
+from .target_limits import StatementSource
 
 CONNECT_TIMEOUT = 0.12
 """Seconds to connect to a target. The round trip within a region is under 20 ms, and a request that
@@ -65,22 +65,22 @@
 
     def __init__(
         self,
-        tools: Tools,
+        context: ForwardingContext,
         incoming: Incoming,
         accepted: Accepted,
         service: str,
         budget: SharedRetryBudget,
-        sink: Sink,
+        sink: ResponseSink,
         is_retry: bool = False,
     ) -> None:
-        self.tools = tools
+        self.context = context
         self._incoming = incoming
         self._accepted = accepted
         self._service = service
         self._is_retry = is_retry
         self._sink = sink
         route = accepted.route
-        caller_timeout = incoming.facts.patience
+        caller_timeout = incoming.facts.caller_timeout
         self._caller_deadline = incoming.arrived + (
             route.timeout if caller_timeout is None else caller_timeout
         )
@@ -90,7 +90,7 @@
             incoming.facts.request_id, route.may_run_again, stream, deadline, route.max_attempts
         )
         self.machine = RequestMachine(request, budget)
-        self.order = EventOrder(incoming.facts.last_event)
+        self.order = EventSequence(incoming.facts.last_event)
         account = accepted.account.name if accepted.account is not None else ""
         self._identity = identity(
             incoming.method, incoming.headers.get("Host", ""), incoming.uri, account, incoming.body
@@ -125,81 +125,83 @@
                     self._fail(problem)
                     effects = rest
 
-    def pass_on(self, run: Run, data: bytes, events: int) -> Awaitable[None] | None:
+    def forward_events(self, run: Attempt, data: bytes, events: int) -> Awaitable[None] | None:
         """Forward complete events to the caller."""
         now = time.monotonic()
         if self._first_event_at is None:
             self._first_event_at = now
             # The caller gets the first target's headers, also if another target resumes the stream.
-            headers = self.tools.codec.to_caller(run.reply_headers)
+            headers = self.context.codec.to_caller(run.reply_headers)
             self._sink.begin(run.status, headers)
-        self.tools.book.progress(run.choice.group, now)
-        self.tools.quarantine.progress(run.choice.head.boot_id)
+        self.context.book.progress(run.choice.group, now)
+        self.context.quarantine.progress(run.choice.head.boot_id)
         self.machine.handle(Piece(self.machine.attempt, events), now)
         return self._sink.write(data)
 
     def _advance(self, event: object) -> list[Effect]:
         return self.machine.handle(event, time.monotonic())  # type: ignore[arg-type]
 
-    def sending(self) -> bool:
+    def confirm_send(self) -> bool:
         """Return whether the request may be sent to its target now, and record that it is sent."""
-        if not self.tools.quarantine.may_send(self._identity):
+        if not self.context.quarantine.may_send(self._identity):
             return False
         now = time.monotonic()
         if self.machine.choice is not None:
-            self._hold_reason = self.tools.notices.held_back(self.machine.choice.head.boot_id)
+            self._hold_reason = self.context.notices.reason_to_skip(
+                self.machine.choice.head.boot_id
+            )
         if self._hold_reason:
             return False
         permit, self._permit = self._permit, None
-        if permit is not None and not self.tools.book.limits.confirm(permit, now):
+        if permit is not None and not self.context.book.limits.confirm(permit, now):
             self._hold_reason = "the target's limit was used up"
             return False
         self._sent_at = now
         self.machine.handle(Sending(self.machine.attempt), self._sent_at)
         return True
 
-    def read_reply(self, status: int, headers: HTTPHeaders) -> Reading:
+    def read_reply(self, status: int, headers: HTTPHeaders) -> ReplyInfo:
         """Decode the status and headers of a reply."""
-        return self.tools.codec.read_reply(status, headers)
+        return self.context.codec.read_reply(status, headers)
 
-    def heard(self, run: Run, reading: Reading) -> None:
+    def apply_notice(self, run: Attempt, reading: ReplyInfo) -> None:
         """Process the notice in the headers of a reply from the target."""
         if not reading.own:
             return
         incarnation, notice = run.choice.head.boot_id, reading.notice
-        source = Source(Asked.REQUEST, self._sent_at, self._incoming.facts.request_id)
-        self.tools.notices.take(incarnation, notice, source, conclusive=reading.sealed)
+        source = StatementSource(CallKind.REQUEST, self._sent_at, self._incoming.facts.request_id)
+        self.context.notices.apply(incarnation, notice, source, conclusive=reading.signed)
         if self._on_trial and not reading.not_run and not notice.backoff:
-            self.tools.book.backoffs.trial_taken(incarnation, time.monotonic())
+            self.context.book.backoffs.trial_accepted(incarnation, time.monotonic())
 
     def _select_target(self) -> Chosen | Quarantined:
         """Return the next target, or the problem if the request is known to crash targets."""
-        problem = self.tools.quarantine.problem(self._identity, self.machine.ran())
+        problem = self.context.quarantine.rejection_for(self._identity, self.machine.ran())
         return Chosen(self._choose()) if problem is None else Quarantined(problem)
 
     def _fail_quarantined(self) -> list[Effect]:
         """Fail a request that was quarantined while an attempt was being sent or was running."""
         ran = self.machine.ran()
-        problem = self.tools.quarantine.problem(self._identity, ran) or ends_targets(0, ran)
+        problem = self.context.quarantine.rejection_for(self._identity, ran) or ends_targets(0, ran)
         return self._advance(Quarantined(problem))
 
     def _choose(self) -> Choice | NoChoice:
-        candidates = self.tools.candidates(self._service, self._incoming.facts.model)
-        queue_limit = self._queue_limit().places
+        candidates = self.context.candidates(self._service, self._incoming.facts.model)
+        queue_limit = self._queue_limit().max_load
         now = time.monotonic()
-        connected = self.tools.caller.keeps
-        spread = self._connection_lost or self.tools.quarantine.endings(self._identity) > 0
-        found = self.tools.book.choose(
+        connected = self.context.caller.has_idle_connection
+        spread = self._connection_lost or self.context.quarantine.crash_count(self._identity) > 0
+        found = self.context.book.choose(
             candidates, self._tried_targets, now, queue_limit, connected, spread
         )
         if found is None:
             no_capacity = bool(candidates)
             reason = self._describe_no_capacity(candidates) if no_capacity else "no target serves"
             if not self.machine.arrived:
-                self.tools.book.turn_away(self._incoming.facts.model, time.monotonic())
+                self.context.book.count_rejection(self._incoming.facts.model, time.monotonic())
             return NoChoice(reason, no_capacity, no_capacity)
-        self._permit = self.tools.book.limits.take(found.lives, now)
-        self._on_trial = self.tools.book.backoffs.take(found.lives[0])
+        self._permit = self.context.book.limits.take(found.incarnations, now)
+        self._on_trial = self.context.book.backoffs.take(found.incarnations[0])
         host = found.host
         member = Member(host.instance.name, host.address, str(host.instance))
         return Choice(found.target, 0, member, host.data_centre, "least busy")
@@ -207,10 +209,12 @@
     def _describe_no_capacity(self, candidates: Sequence[Candidate]) -> str:
         """Describe why no target accepts the request, with the counts behind it."""
         now = time.monotonic()
-        load = min(self.tools.book.load(c.target, now) for c in candidates)
-        suspects = sum(self.tools.book.is_suspect(c.target, now) for c in candidates)
-        limited = sum(self.tools.book.limits.is_limited(c.lives) for c in candidates)
-        backed_off = sum(not self.tools.book.backoffs.may_take(c.lives[0], now) for c in candidates)
+        load = min(self.context.book.load(c.target, now) for c in candidates)
+        suspects = sum(self.context.book.is_suspect(c.target, now) for c in candidates)
+        limited = sum(self.context.book.limits.is_limited(c.incarnations) for c in candidates)
+        backed_off = sum(
+            not self.context.book.backoffs.may_place(c.incarnations[0], now) for c in candidates
+        )
         slots = candidates[0].host.slots
         return (
             f"no untried target has room: {len(candidates)} targets, {suspects} doubtful, "
@@ -218,22 +222,24 @@
             f"least busy {load} of {slots}, tried {len(self._tried_targets)}"
         )
 
-    def _admission_class(self) -> Standing:
-        return standing(self._is_retry, self.machine.arrived, self._first_event_at is not None)
+    def _admission_class(self) -> AdmissionClass:
+        return admission_class(
+            self._is_retry, self.machine.arrived, self._first_event_at is not None
+        )
 
-    def _queue_limit(self) -> Room:
+    def _queue_limit(self) -> QueueLimit:
         route = self._accepted.route
-        waiting = self.tools.waiting(self._incoming.facts.model, route.goal)
-        return room(self._admission_class(), route.generates, waiting)
+        waiting = self.context.max_waiting(self._incoming.facts.model, route.goal)
+        return queue_limit(self._admission_class(), route.generates, waiting)
 
     async def _attempt(self, attempt: int, choice: Choice) -> list[Effect]:
-        tracker = self.tools.book
+        tracker = self.context.book
         self._tried_targets.add(choice.group)
         self._attempt_log.append(f"{choice.group}:{choice.head.host}")
         tracker.begin(choice.group)
-        run = Run(self, choice)
-        task = asyncio.ensure_future(self.tools.caller.call(self._call(choice), run))
-        quarantined = self.tools.quarantine.begin(self._identity)
+        run = Attempt(self, choice)
+        task = asyncio.ensure_future(self.context.caller.call(self._call(choice), run))
+        quarantined = self.context.quarantine.begin(self._identity)
         try:
             abandon_reason = await self._wait_for_end(task, quarantined, run, choice)
             if abandon_reason is None:
@@ -241,7 +247,7 @@
             return self._handle_abandoned(abandon_reason, attempt, choice)
         finally:
             task.cancel()
-            self.tools.quarantine.end(self._identity, quarantined)
+            self.context.quarantine.end(self._identity, quarantined)
             permit, self._permit = self._permit, None
             if permit is not None:
                 tracker.limits.give_back(permit)
@@ -256,7 +262,7 @@
         account = accepted.account.name if accepted.account is not None else None
         urgency = accepted.priority + self._queue_limit().urgency
         priority = urgency if accepted.route.generates else None
-        headers = self.tools.codec.to_target(
+        headers = self.context.codec.to_target(
             self._incoming.headers,
             account,
             choice.head.host,
@@ -273,8 +279,8 @@
             self._incoming.body,
             timeout=None,
             reuse=True,
-            unframed=True,
-            belongs=lambda h: self.tools.codec.belongs(request_id, h),
+            accept_close_delimited=True,
+            is_reply_to_call=lambda h: self.context.codec.is_reply_to(request_id, h),
             connect_timeout=CONNECT_TIMEOUT,
         )
 
@@ -282,7 +288,7 @@
         self,
         task: asyncio.Future[Result[Reply, CallFailure]],
         quarantined: asyncio.Future[None],
-        run: Run,
+        run: Attempt,
         choice: Choice,
     ) -> str | None:
         """Wait for an attempt's end; return the reason to abandon it, ``None`` if it ended.
@@ -290,12 +296,12 @@
         :param quarantined: done when the request is quarantined; abandoning it may then save this
             target from a crash
         """
-        tracker = self.tools.book
+        tracker = self.context.book
         while True:
             now = time.monotonic()
             deadline = self.machine.request.deadline
-            stall_timeout = stall_after(self._accepted.route, run.events > 0)
-            next_check = min(deadline, max(run.progressed + stall_timeout, now + 0.02))
+            stall_timeout = stall_timeout_for(self._accepted.route, run.events > 0)
+            next_check = min(deadline, max(run.last_progress_at + stall_timeout, now + 0.02))
             wait = max(0.0, next_check - now)
             awaited: set[asyncio.Future[Any]] = {task, quarantined}
             await asyncio.wait(awaited, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
@@ -308,22 +314,22 @@
                 return "deadline"
             if run.fault:
                 return run.fault
-            stalled = now - run.progressed >= stall_timeout
+            stalled = now - run.last_progress_at >= stall_timeout
             if (
                 stalled
-                and not tracker.goes_on(choice.group, now, stall_timeout)
+                and not tracker.recently_progressed(choice.group, now, stall_timeout)
                 and self._can_retry_elsewhere(now)
             ):
-                return f"no progress in {now - run.progressed:.3f} s"
+                return f"no progress in {now - run.last_progress_at:.3f} s"
 
     def _can_retry_elsewhere(self, now: float) -> bool:
         if not self.machine.may_move(now):
             return False
-        candidates = self.tools.candidates(self._service, self._incoming.facts.model)
-        tracker = self.tools.book
+        candidates = self.context.candidates(self._service, self._incoming.facts.model)
+        tracker = self.context.book
         healthy = [c for c in candidates if not tracker.is_suspect(c.target, now)]
         return (
-            tracker.choose(healthy, self._tried_targets, now, self._queue_limit().places)
+            tracker.choose(healthy, self._tried_targets, now, self._queue_limit().max_load)
             is not None
         )
 
@@ -337,12 +343,12 @@
         return self._advance(Lost(attempt, abandon_reason))
 
     def _handle_end(
-        self, result: Result[Reply, CallFailure], run: Run, attempt: int, choice: Choice
+        self, result: Result[Reply, CallFailure], run: Attempt, attempt: int, choice: Choice
     ) -> list[Effect]:
-        if run.withheld and self._hold_reason:
+        if run.not_sent and self._hold_reason:
             reason, self._hold_reason = self._hold_reason, ""
             return self._advance(ConnectFailed(attempt, reason))
-        if run.withheld:
+        if run.not_sent:
             return self._fail_quarantined()
         if not is_successful(result):
             failure = result.failure()
@@ -355,17 +361,17 @@
         reply = result.unwrap()
         reading = self.read_reply(reply.status, reply.headers)
         if reading.not_run:
-            self._turned_away(choice, f"status {reply.status}", reading.notice)
+            self._handle_rejection(choice, f"status {reply.status}", reading.notice)
             return self._advance(NotStarted(attempt, f"target said {reply.status}, not run"))
-        if run.streaming and (run.fault or run.torn or not run.events):
+        if run.streaming and (run.fault or run.truncated or not run.events):
             self._record_possible_crash(choice)
             return self._advance(Lost(attempt, run.fault or "the stream was torn"))
-        if not reading.sealed:
+        if not reading.signed:
             return self._advance(Lost(attempt, f"status {reply.status} without a signature"))
-        self.tools.quarantine.answered(self._identity, self._incoming.facts.request_id)
+        self.context.quarantine.answered(self._identity, self._incoming.facts.request_id)
         if not run.streaming:
             reply = reply._replace(body=b"".join(run.chunks))
-            if self._sink.begun:
+            if self._sink.started:
                 return self._advance(Lost(attempt, f"status {reply.status} in place of the rest"))
             self._buffered_reply = reply
             if reply.status >= 500 and self._can_retry_elsewhere(time.monotonic()):
@@ -375,11 +381,11 @@
     def _record_possible_crash(self, choice: Choice) -> None:
         """Record that the target may have crashed with the request in flight."""
         ran_for = time.monotonic() - self._sent_at
-        self.tools.quarantine.lost(
+        self.context.quarantine.attempt_lost(
             self._identity, self._incoming.facts.request_id, choice.head, ran_for
         )
 
-    def _turned_away(self, choice: Choice, reason: str, notice: Notice) -> None:
+    def _handle_rejection(self, choice: Choice, reason: str, notice: Notice) -> None:
         """Record a rejection.
 
         The target becomes a suspect only if the rejection states no back-off and no rate limit.
@@ -391,13 +397,13 @@
 
     def _suspect(self, choice: Choice, reason: str) -> None:
         self._log_failed_attempt(choice, reason)
-        self.tools.book.suspect(choice.group, time.monotonic())
+        self.context.book.suspect(choice.group, time.monotonic())
 
     def _log_failed_attempt(
         self, choice: Choice, reason: str, backoff: float | None = None
     ) -> None:
-        was_suspect = self.tools.book.is_suspect(choice.group, time.monotonic())
-        self.tools.records.request(
+        was_suspect = self.context.book.is_suspect(choice.group, time.monotonic())
+        self.context.records.request(
             self._incoming.facts.request_id,
             "attempt failed",
             False,
@@ -410,26 +416,26 @@
         )
 
     def _deliver(self) -> None:
-        if self._sink.begun:
+        if self._sink.started:
             self._sink.end()
             self._log_outcome("answered", True, 200)
             return
         reply = self._buffered_reply
         assert reply is not None
-        headers = self.tools.codec.to_caller(reply.headers)
+        headers = self.context.codec.to_caller(reply.headers)
         self._sink.reply(reply.status, headers, reply.body)
         self._log_outcome("answered", reply.status < 500, reply.status)
 
     def _fail(self, problem: Problem) -> None:
-        if self._sink.begun:
-            self._sink.cut()
+        if self._sink.started:
+            self._sink.abort()
             self._log_outcome("cut", False, problem.status, reason=problem.detail)
             return
         if self._buffered_reply is not None:
             self._deliver()
             return
         problem = self._without_unproven_claims(problem)
-        self._sink.refuse(problem)
+        self._sink.reject(problem)
         self._log_outcome(problem.kind, False, problem.status, reason=problem.detail)
 
     def _without_unproven_claims(self, problem: Problem) -> Problem:
@@ -441,7 +447,7 @@
             return problem._replace(status=status, ran=Ran.UNKNOWN, retry_after=None)
         after = problem.retry_after
         if problem.kind != HELD_BACK:
-            after = self.tools.come_back(self._service, self._incoming.facts.model)
+            after = self.context.retry_delay(self._service, self._incoming.facts.model)
         return problem._replace(status=503, ran=Ran.NO, retry_after=after)
 
     def _log_outcome(self, outcome: str, success: bool, status: int, **more: object) -> None:
@@ -464,5 +470,5 @@
             "last_event": self.order.last,
             **more,
         }
-        self.tools.records.request(self._incoming.facts.request_id, outcome, success, **fields)
-        self.tools.report(self._accepted.route.name, outcome, now - self._incoming.arrived)
+        self.context.records.request(self._incoming.facts.request_id, outcome, success, **fields)
+        self.context.report(self._accepted.route.name, outcome, now - self._incoming.arrived)
--- a/src/oleanderhill/serving/events.py
+++ b/src/oleanderhill/serving/events.py
@@ -20,7 +20,7 @@
     number: int | None
 
 
-class EventCutter:
+class EventSplitter:
     """Splits chunks of bytes into complete events."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         return self._rest
 
 
-class EventOrder:
+class EventSequence:
     """Checks that event ids are consecutive across attempts, without gaps or duplicates.
 
     :param last: id of the last event that the caller already has, ``None`` for none
@@ -54,7 +54,7 @@
     def __init__(self, last: int | None) -> None:
         self.last = last
 
-    def admit(self, event: Event) -> bool:
+    def accept(self, event: Event) -> bool:
         """Return whether an event is the next one, and if so record it as the last."""
         if event.number is None:
             return True
--- a/src/oleanderhill/serving/forwarding.py
+++ b/src/oleanderhill/serving/forwarding.py
@@ -8,23 +8,23 @@
 from tornado.httputil import HTTPHeaders
 
 
-class Facts(NamedTuple):
+class RequestInfo(NamedTuple):
     """The fields that are decoded from a request's headers.
 
-    :param patience: caller timeout in seconds, ``None`` if the request does not state one
+    :param caller_timeout: caller timeout in seconds, ``None`` if the request does not state one
     :param key: API key, empty for none
     :param model: requested model, empty for a plain service
     :param last_event: id of the last event of the stream that the caller has received
     """
 
     request_id: str
-    patience: float | None
+    caller_timeout: float | None
     key: str
     model: str
     last_event: int | None
 
 
-class NamedLimit(NamedTuple):
+class StatedLimit(NamedTuple):
     """The rate limit that a target states in a reply.
 
     :param rate: requests per second that the target accepts from all entry hosts together, ``None``
@@ -45,22 +45,22 @@
     :param leaving: whether the target is shutting down and will accept no further requests
     """
 
-    limit: NamedLimit | None = None
+    limit: StatedLimit | None = None
     backoff: float | None = None
     leaving: bool = False
 
 
-class Reading(NamedTuple):
+class ReplyInfo(NamedTuple):
     """The meaning of a target's reply.
 
     :param not_run: whether the target states that it did not run the request and will not run it
-    :param sealed: whether the reply carries the target's signature
+    :param signed: whether the reply carries the target's signature
     :param own: whether the reply comes from the target instance that the request was sent to, not
         from another one at the same address
     """
 
     not_run: bool
-    sealed: bool
+    signed: bool
     own: bool = True
     notice: Notice = Notice()
 
@@ -68,7 +68,7 @@
 class Codec(Protocol):
     """Decodes and encodes the headers of requests and replies."""
 
-    def read_request(self, headers: HTTPHeaders) -> Facts:
+    def read_request(self, headers: HTTPHeaders) -> RequestInfo:
         """Decode the headers of a request."""
 
     def to_target(
@@ -82,14 +82,14 @@
     ) -> HTTPHeaders:
         """Return the headers of a request to a target."""
 
-    def read_reply(self, status: int, headers: HTTPHeaders) -> Reading:
+    def read_reply(self, status: int, headers: HTTPHeaders) -> ReplyInfo:
         """Decode the status and headers of a reply."""
 
-    def belongs(self, request_id: str, headers: HTTPHeaders) -> bool:
+    def is_reply_to(self, request_id: str, headers: HTTPHeaders) -> bool:
         """Return whether a reply with these headers answers the request."""
 
     def to_caller(self, headers: HTTPHeaders) -> HTTPHeaders:
         """Return the headers of a target's reply as they are sent to the caller."""
 
-    def refusal(self, request_id: str, retry_after: float | None) -> Mapping[str, str]:
+    def problem_headers(self, request_id: str, retry_after: float | None) -> Mapping[str, str]:
         """Return the headers of a problem response that this host generates itself."""
--- a/src/oleanderhill/serving/front.py
+++ b/src/oleanderhill/serving/front.py
@@ -25,7 +25,7 @@
 from ..kernel import Kernel, Task
 from ..outcomes import Problem, Ran, too_large
 from ..records import Records
-from .forwarding import Codec, Facts
+from .forwarding import Codec, RequestInfo
 from .incoming import Incoming
 
 IDLE_TIMEOUT = 30.0
@@ -43,7 +43,7 @@
 """Seconds before the end of the grace period at which the process exits on its own."""
 
 
-class Serve(NamedTuple):
+class ServeCallbacks(NamedTuple):
     """Callbacks of the server into the rest of the process.
 
     :param serve: handles a request and writes its final response to a sink
@@ -60,13 +60,13 @@
     """Writes the response to one caller."""
 
     def __init__(
-        self, connection: HTTPConnection, codec: Codec, facts: Facts, front: Front
+        self, connection: HTTPConnection, codec: Codec, facts: RequestInfo, front: Front
     ) -> None:
         self._connection = connection
         self._codec = codec
         self._facts = facts
         self._front = front
-        self.begun = False
+        self.started = False
         self.finished = False
 
     def reply(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
@@ -77,7 +77,7 @@
 
     def begin(self, status: int, headers: HTTPHeaders) -> None:
         """Send the head of a streamed response."""
-        self.begun = True
+        self.started = True
         self._write_head(status, headers, None)
 
     def write(self, data: bytes) -> Awaitable[None] | None:
@@ -90,16 +90,18 @@
         self.finished = True
         self._connection.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection before the last chunk, which marks the response as incomplete."""
         self.finished = True
         if isinstance(self._connection, HTTP1Connection):
             self._connection.close()
 
-    def refuse(self, problem: Problem) -> None:
+    def reject(self, problem: Problem) -> None:
         """Send a problem as the final response."""
         headers = HTTPHeaders()
-        for name, value in self._codec.refusal(self._facts.request_id, problem.retry_after).items():
+        for name, value in self._codec.problem_headers(
+            self._facts.request_id, problem.retry_after
+        ).items():
             headers[name] = value
         body = problem.as_body(self._facts.request_id)
         self.reply(problem.status, headers, json.dumps(body).encode())
@@ -155,7 +157,7 @@
 
     def data_received(self, chunk: bytes) -> None:
         self._size += len(chunk)
-        if self._size <= self._front.serving.max_body():
+        if self._size <= self._front.callbacks.max_body():
             self._chunks.append(chunk)
 
     def finish(self) -> None:
@@ -167,8 +169,8 @@
             return
         facts = front.codec.read_request(self._headers)
         sink = CallerSink(self._connection, front.codec, facts, front)
-        if self._size > front.serving.max_body():
-            sink.refuse(too_large(front.serving.max_body()))
+        if self._size > front.callbacks.max_body():
+            sink.reject(too_large(front.callbacks.max_body()))
             front.requests_in_flight.discard(self)
             return
         incoming = Incoming(
@@ -253,7 +255,7 @@
         balancer: str,
         grace: float,
         codec: Codec,
-        serving: Serve,
+        callbacks: ServeCallbacks,
         records: Records,
     ) -> None:
         super().__init__(kernel)
@@ -261,7 +263,7 @@
         self._balancer = balancer
         self._grace = grace
         self.codec = codec
-        self.serving = serving
+        self.callbacks = callbacks
         self._records = records
         self.stopping = False
         self.closing_idle = False
@@ -302,7 +304,7 @@
     @property
     def ready(self) -> bool:
         """Whether the load balancer should send requests to this host."""
-        return not self.stopping and self.serving.ready()
+        return not self.stopping and self.callbacks.ready()
 
     async def drain(self) -> None:
         """Stop accepting callers, and return when the requests in flight have finished.
@@ -327,12 +329,12 @@
     async def run(self, incoming: Incoming, host: str, path: str, sink: CallerSink) -> None:
         """Handle a request up to its final response, which it gets on any failure too."""
         try:
-            await self.serving.serve(incoming, host, path, sink)
+            await self.callbacks.serve(incoming, host, path, sink)
         except Exception as error:  # an internal error must not leave the caller without a response
             self.failed(error)
             detail = f"{type(error).__name__}: {error}"
             self._records.request(incoming.facts.request_id, "internal", False, reason=detail)
-            if sink.begun:
-                sink.cut()
+            if sink.started:
+                sink.abort()
             elif not sink.finished:
-                sink.refuse(Problem("internal", 502, Ran.UNKNOWN, "an internal failure"))
+                sink.reject(Problem("internal", 502, Ran.UNKNOWN, "an internal failure"))
--- a/src/oleanderhill/serving/gossip.py
+++ b/src/oleanderhill/serving/gossip.py
@@ -16,27 +16,27 @@
 
 from ..groups.ownership import Presence
 from ..kernel import Kernel, Task
-from ..routing.endings import EndingNews
-from ..routing.target_limits import LimitNews
-from .leaving import LeavingNews, LeavingTargets
-from .placing import PEER_COUNTS_LAST, LoadBook
+from ..routing.crashes import EndingNews
+from ..routing.target_limits import LimitUpdate
+from .leaving import LeavingTargets, LeavingUpdate
+from .placement import PEER_COUNTS_MAX_AGE, LoadTracker
 from .quarantine import QuarantineTask
 from .reports import (
     MAX_MESH_HOSTS,
-    Audience,
     LoadReport,
+    ReportRecipients,
     Scope,
     add_age,
     aggregate,
     aggregator_rankings,
-    audience,
+    report_recipients,
     split_report,
     subtract,
 )
 from .retries import SharedRetryBudget
 from .target_limits import TargetLimitTask
 
-EVERY = 0.05
+REPORT_INTERVAL = 0.05
 """Seconds between two reports. Reports distinguish a stalled target from a busy one, and a stalled
 stream has 0.2 s to resume elsewhere. A report costs about 30 us at each end."""
 
@@ -69,7 +69,7 @@
     report: LoadReport
 
 
-_DECODER = msgspec.msgpack.Decoder(LoadReport | EndingNews | LimitNews | LeavingNews)
+_DECODER = msgspec.msgpack.Decoder(LoadReport | EndingNews | LimitUpdate | LeavingUpdate)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
@@ -91,13 +91,13 @@
     """
 
     name = "gossip"
-    interval = EVERY
+    interval = REPORT_INTERVAL
 
     def __init__(
         self,
         kernel: Kernel,
         me: Presence,
-        load_tracker: LoadBook,
+        load_tracker: LoadTracker,
         peers: Callable[[], Mapping[str, Presence]],
         quarantine: QuarantineTask,
         budgets: Mapping[str, SharedRetryBudget],
@@ -132,7 +132,7 @@
         ip, port = self._me.address.rsplit(":", 1)
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(self._hear), local_addr=(ip, int(port))
+            lambda: _Datagrams(self._receive), local_addr=(ip, int(port))
         )
         self.spawn(self._tick_loop())
 
@@ -150,27 +150,34 @@
             self._alive, self._rankings = alive, aggregator_rankings(alive)
         self._expire_reports(now)
         connected = len(alive) <= 1 or now - self._last_received_at < ISOLATION_TIMEOUT
-        self._limits.reach(alive, connected)
+        self._limits.update_hosts(alive, connected)
         self._full_mesh = len(alive) <= MAX_MESH_HOSTS
         reporters = {sender for sender, _ in self._local_reports}
         aggregator_silent = now - self._total_received_at > AGGREGATOR_TIMEOUT
         remote_senders = sorted({received.report.sender for received in self._remote_sums.values()})
-        to = audience(self._me, alive, self._rankings, reporters, aggregator_silent, remote_senders)
+        to = report_recipients(
+            self._me, alive, self._rankings, reporters, aggregator_silent, remote_senders
+        )
         self._own_in_total, self._own = self._own, self._own_report(now)
         own = self._own
-        has_news = own.counts or own.suspects or own.turned_away or own.backing_off
+        has_news = own.counts or own.suspects or own.rejections or own.backing_off
         if has_news or now - self._reported_at >= IDLE_REPORT_INTERVAL:
             self._reported_at = now
             self._send(self._own, to.own, alive)
-        if to.hubs or to.neighbours:
+        if to.aggregators or to.local_hosts:
             self._send_aggregates(now, to, alive)
-        for update in (*self._limits.news(), *self._leaving.news(self._me.name)):
+        for update in (
+            *self._limits.pending_updates(),
+            *self._leaving.pending_updates(self._me.name),
+        ):
             self._send_to(_ENCODER.encode(update), to.all, alive)
         if now - self._crash_update_at >= CRASH_UPDATE_INTERVAL:
             self._crash_update_at = now
             self._send_crash_updates(now, to, alive)
 
-    def _send_crash_updates(self, now: float, to: Audience, alive: Mapping[str, Presence]) -> None:
+    def _send_crash_updates(
+        self, now: float, to: ReportRecipients, alive: Mapping[str, Presence]
+    ) -> None:
         """Send crashed targets and quarantined requests to the recipients of the load reports.
 
         Each host sends everything it knows, including what it received from peers. The updates are
@@ -180,7 +187,7 @@
         resend = now - self._crash_resend_at >= CRASH_RESEND_INTERVAL
         if resend:
             self._crash_resend_at = now
-        for part in self._quarantine.news(resend):
+        for part in self._quarantine.pending_updates(resend):
             self._send_to(_ENCODER.encode(part), to.all, alive)
 
     def _own_report(self, now: float) -> LoadReport:
@@ -193,12 +200,14 @@
             dict(tracker.own),
             tracker.own_suspects(now),
             tracker.own_progress(now),
-            tracker.own_turned_away(now),
+            tracker.own_rejections(now),
             {service: budget.own(now) for service, budget in self._budgets.items()},
             tracker.own_backoffs(now),
         )
 
-    def _send_aggregates(self, now: float, to: Audience, alive: Mapping[str, Presence]) -> None:
+    def _send_aggregates(
+        self, now: float, to: ReportRecipients, alive: Mapping[str, Presence]
+    ) -> None:
         """Send the sum of this data centre and the total, as its aggregator."""
         me = self._me
         local_reports = [
@@ -208,9 +217,9 @@
         local_sum = aggregate(me.name, Scope.DATA_CENTRE, me.data_centre, local_reports)
         remote_sums = [add_age(r.report, now - r.at) for r in self._remote_sums.values()]
         total = aggregate(me.name, Scope.TOTAL, me.data_centre, [local_sum, *remote_sums])
-        self._send(local_sum, to.hubs, alive)
-        self._send(total, to.neighbours, alive)
-        self._take_total(total, self._own, now)
+        self._send(local_sum, to.aggregators, alive)
+        self._send(total, to.local_hosts, alive)
+        self._apply_total(total, self._own, now)
 
     def _send(
         self, report: LoadReport, names: Iterable[str], alive: Mapping[str, Presence]
@@ -228,12 +237,12 @@
                 self._transport.sendto(data, (ip, int(port)))
 
     def _expire_reports(self, now: float) -> None:
-        self._tracker.forget_peers(now)
+        self._tracker.drop_stale_peers(now)
         for reports in (self._local_reports, self._remote_sums):
-            for key in [k for k, r in reports.items() if now - r.at > PEER_COUNTS_LAST]:
+            for key in [k for k, r in reports.items() if now - r.at > PEER_COUNTS_MAX_AGE]:
                 del reports[key]
 
-    def _hear(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         try:
             report = _DECODER.decode(data)
         except msgspec.DecodeError:
@@ -241,16 +250,16 @@
             return
         now = self._last_received_at = time.monotonic()
         if isinstance(report, EndingNews):
-            self._quarantine.hear(report)
+            self._quarantine.apply_peer_update(report)
             return
-        if isinstance(report, LimitNews):
-            self._limits.hear(report)
+        if isinstance(report, LimitUpdate):
+            self._limits.apply_peer_update(report)
             return
-        if isinstance(report, LeavingNews):
-            self._leaving.hear(report)
+        if isinstance(report, LeavingUpdate):
+            self._leaving.apply_peer_update(report)
             return
         if report.scope == Scope.TOTAL:
-            self._take_total(report, self._own_in_total, now)
+            self._apply_total(report, self._own_in_total, now)
         elif report.scope == Scope.DATA_CENTRE:
             self._remote_sums[report.data_centre, report.part] = _Received(now, report)
         else:
@@ -259,16 +268,16 @@
             if self._full_mesh:
                 self._apply_report(f"{report.sender}/{report.part}", report, now)
 
-    def _take_total(self, total: LoadReport, own: LoadReport, now: float) -> None:
+    def _apply_total(self, total: LoadReport, own: LoadReport, now: float) -> None:
         self._total_received_at = now
-        self._tracker.heard_later = TOTAL_HOPS * EVERY
+        self._tracker.peer_report_delay = TOTAL_HOPS * REPORT_INTERVAL
         self._apply_report(f"total/{total.part}", subtract(total, own), now)
 
     def _apply_report(self, peer: str, report: LoadReport, now: float) -> None:
-        self._tracker.hear(
-            peer, report.counts, report.suspects, report.progress, report.turned_away, now
+        self._tracker.apply_peer_update(
+            peer, report.counts, report.suspects, report.progress, report.rejections, now
         )
-        self._tracker.hear_backoffs(report.backing_off, now)
+        self._tracker.apply_peer_backoffs(report.backing_off, now)
         for service, count in report.retries.items():
             if service in self._budgets:
-                self._budgets[service].hear(peer, count, now)
+                self._budgets[service].apply_peer_update(peer, count, now)
--- a/src/oleanderhill/serving/incoming.py
+++ b/src/oleanderhill/serving/incoming.py
@@ -8,7 +8,7 @@
 from tornado.httputil import HTTPHeaders
 
 from ..outcomes import Problem
-from .forwarding import Facts
+from .forwarding import RequestInfo
 
 
 class Incoming(NamedTuple):
@@ -22,15 +22,15 @@
     uri: str
     headers: HTTPHeaders
     body: bytes
-    facts: Facts
+    facts: RequestInfo
     arrived: float
     first_on_connection: bool = False
 
 
-class Sink(Protocol):
+class ResponseSink(Protocol):
     """Sends the response to the caller."""
 
-    begun: bool
+    started: bool
 
     def reply(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
         """Send a complete response."""
@@ -44,8 +44,8 @@
     def end(self) -> None:
         """Finish a streamed response as complete."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort a streamed response so that the caller can't take it for complete."""
 
-    def refuse(self, problem: Problem) -> None:
+    def reject(self, problem: Problem) -> None:
         """Send a problem as the final response."""
--- a/src/oleanderhill/serving/leaving.py
+++ b/src/oleanderhill/serving/leaving.py
@@ -24,7 +24,7 @@
 """With host names of 32 characters a datagram with this many incarnations fits into one frame."""
 
 
-class LeavingNews(msgspec.Struct, tag="leaving"):
+class LeavingUpdate(msgspec.Struct, tag="leaving"):
     """Incarnations of leaving targets, as sent by one entry host to its peers."""
 
     sender: str
@@ -47,7 +47,7 @@
     def __len__(self) -> int:
         return len(self._marked_at)
 
-    def said(self, incarnation: str, source: str, request_id: str = "") -> None:
+    def announced(self, incarnation: str, source: str, request_id: str = "") -> None:
         """Record that a target is leaving; nothing revokes this during its incarnation."""
         if incarnation in self._marked_at or not self._inventory.leave(incarnation):
             return
@@ -57,16 +57,16 @@
         )
         self._changed()
 
-    def hear(self, update: LeavingNews) -> None:
+    def apply_peer_update(self, update: LeavingUpdate) -> None:
         """Apply an update from a peer."""
         for incarnation in update.lives:
-            self.said(incarnation, f"peer {update.sender}")
+            self.announced(incarnation, f"peer {update.sender}")
 
-    def over(self, incarnation: str) -> None:
+    def incarnation_ended(self, incarnation: str) -> None:
         """Drop an incarnation that has ended."""
         self._marked_at.pop(incarnation, None)
 
-    def news(self, sender: str) -> list[LeavingNews]:
+    def pending_updates(self, sender: str) -> list[LeavingUpdate]:
         """Return the updates to send to peers now."""
         now = time.monotonic()
         full = now - self._full_update_at >= FULL_UPDATE_INTERVAL
@@ -74,6 +74,6 @@
             self._full_update_at = now
         due = [i for i, at in self._marked_at.items() if full or now - at < REPEAT_SECONDS]
         return [
-            LeavingNews(sender, due[first : first + INCARNATIONS_PER_DATAGRAM])
+            LeavingUpdate(sender, due[first : first + INCARNATIONS_PER_DATAGRAM])
             for first in range(0, len(due), INCARNATIONS_PER_DATAGRAM)
         ]
--- a/src/oleanderhill/serving/notices.py
+++ b/src/oleanderhill/serving/notices.py
@@ -14,7 +14,7 @@
 from ..routing.backoffs import Backoffs
 from .forwarding import Notice
 from .leaving import LeavingTargets
-from .target_limits import Source, TargetLimitTask
+from .target_limits import StatementSource, TargetLimitTask
 
 
 class TargetNotices:
@@ -34,31 +34,31 @@
         self._leaving = leaving
         self._records = records
 
-    def take(
-        self, incarnation: str, notice: Notice, source: Source, conclusive: bool = True
+    def apply(
+        self, incarnation: str, notice: Notice, source: StatementSource, conclusive: bool = True
     ) -> None:
         """Apply the notice in an answer.
 
         :param conclusive: whether an answer that states no limit means that there is none
         """
         if notice.leaving:
-            self._leaving.said(incarnation, source.asked.value, source.request_id)
+            self._leaving.announced(incarnation, source.asked.value, source.request_id)
         if notice.backoff:
             self._start_backoff(incarnation, notice.backoff, source)
         if conclusive or notice.limit is not None:
             self._limits.answered(incarnation, notice.limit, source)
 
-    def over(self, incarnation: str) -> None:
+    def incarnation_ended(self, incarnation: str) -> None:
         """Drop the notices of an incarnation that has ended."""
         self._backoffs.forget(incarnation)
-        self._leaving.over(incarnation)
-        self._limits.over(incarnation)
+        self._leaving.incarnation_ended(incarnation)
+        self._limits.incarnation_ended(incarnation)
 
-    def may_ask(self, instance: Instance) -> bool:
+    def may_contact(self, instance: Instance) -> bool:
         """Return whether an order or a probe may be sent to a host now."""
         return self._backoffs.may_send(str(instance), time.monotonic())
 
-    def held_back(self, incarnation: str) -> str:
+    def reason_to_skip(self, incarnation: str) -> str:
         """Return why no request may be sent to a target now, empty if it may."""
         if self._inventory.is_leaving(incarnation):
             return "the target is leaving"
@@ -91,11 +91,11 @@
             self._times_skipped,
         )
 
-    def _start_backoff(self, incarnation: str, seconds: float, source: Source) -> None:
+    def _start_backoff(self, incarnation: str, seconds: float, source: StatementSource) -> None:
         # Nothing reports the end of an incarnation that is not listed, so its back-off would stay.
         if self._inventory.host(incarnation) is None:
             return
-        if self._backoffs.ask(incarnation, seconds, time.monotonic()):
+        if self._backoffs.extend(incarnation, seconds, time.monotonic()):
             self._records.note(
                 "backoff",
                 "requested",
--- a/src/oleanderhill/serving/placing.py
+++ b/src/oleanderhill/serving/placement.py
@@ -12,7 +12,7 @@
 from ..routing.backoffs import Backoffs
 from ..routing.target_limits import TargetLimits
 
-PEER_COUNTS_LAST = 0.6
+PEER_COUNTS_MAX_AGE = 0.6
 """Seconds for which a peer's counts are used, so that several of its reports may be lost."""
 
 SUSPECT_SECONDS = 2.0
@@ -20,7 +20,7 @@
 send again earlier. The owner of a group detects a lost member and dissolves the group within 1.5 s.
 With a longer time, callers would be rejected while a group that was only slow once stays unused."""
 
-BELIEVED = 0.5
+MAX_SUSPECT_FRACTION = 0.5
 """Fraction of the targets up to which suspicion is taken into account. Only the failure of several
 data centres loses more targets at the same time; otherwise the cause is load, and suspect targets
 still get requests."""
@@ -47,7 +47,7 @@
 requests find an open connection."""
 
 
-HERD = 4.0
+HERD_LIMIT = 4.0
 """Requests that all entry hosts together may send to a target before any of them sees the others'
 requests. It bounds the thundering herd on a group that has just opened and is the least loaded one
 for all hosts at the same time."""
@@ -68,12 +68,12 @@
     members: tuple[str, ...] = ()
 
     @property
-    def lives(self) -> tuple[str, ...]:
+    def incarnations(self) -> tuple[str, ...]:
         """Return all incarnations that a request passes through, starting with the first."""
         return (str(self.host.instance), *self.members)
 
 
-class LoadBook:
+class LoadTracker:
     """Tracks requests in flight by target, here and at peers, and suspect targets.
 
     :param data_centre: data centre of this entry host
@@ -92,7 +92,7 @@
         self.backoffs = Backoffs() if backoffs is None else backoffs
         self._data_centre = data_centre
         self._rng = rng
-        self.heard_later = PEER_REPORT_DELAY
+        self.peer_report_delay = PEER_REPORT_DELAY
         self._own: dict[str, int] = {}
         self._peers: dict[str, tuple[float, Mapping[str, int]]] = {}
         self._suspect_until: dict[str, float] = {}
@@ -121,24 +121,24 @@
             self._own.pop(target, None)
             self._progress_at.pop(target, None)
 
-    def turn_away(self, model: str, now: float) -> None:
+    def count_rejection(self, model: str, now: float) -> None:
         """Count a request that is rejected because no target can take it."""
         self._rejected.append((now, model))
 
-    def own_turned_away(self, now: float) -> dict[str, int]:
+    def own_rejections(self, now: float) -> dict[str, int]:
         """Return how many requests this host rejected in the last second, by model."""
         while self._rejected and self._rejected[0][0] < now - 1.0:
             self._rejected.popleft()
         return dict(Counter(model for _, model in self._rejected))
 
-    def turned_away(self, model: str, now: float) -> int:
+    def rejections(self, model: str, now: float) -> int:
         """Return how many requests for a model all entry hosts rejected in the last second."""
         by_peers = sum(
             counts.get(model, 0)
             for at, counts in self._peer_rejected.values()
-            if now - at <= PEER_COUNTS_LAST
+            if now - at <= PEER_COUNTS_MAX_AGE
         )
-        return by_peers + self.own_turned_away(now).get(model, 0)
+        return by_peers + self.own_rejections(now).get(model, 0)
 
     def progress(self, target: str, now: float) -> None:
         """Record that a target sent something for any request."""
@@ -149,7 +149,7 @@
         """Return the seconds since each target with requests from here last sent something."""
         return {t: round(now - at, 3) for t, at in self._progress_at.items()}
 
-    def goes_on(self, target: str, now: float, within: float) -> bool:
+    def recently_progressed(self, target: str, now: float, within: float) -> bool:
         """Return whether a target recently sent something to any entry host.
 
         A group that lost a member stops for all its requests at the same time. A group that still
@@ -158,9 +158,12 @@
         """
         if now - self._progress_at.get(target, float("-inf")) < within:
             return True
-        return now - self._peer_progress_at.get(target, float("-inf")) < within + self.heard_later
+        return (
+            now - self._peer_progress_at.get(target, float("-inf"))
+            < within + self.peer_report_delay
+        )
 
-    def hear(
+    def apply_peer_update(
         self,
         peer: str,
         counts: Mapping[str, int],
@@ -181,10 +184,10 @@
         for target in suspects:
             self._peer_suspect_until[target] = now + PEER_SUSPECT_SECONDS
 
-    def forget_peers(self, now: float) -> None:
+    def drop_stale_peers(self, now: float) -> None:
         """Drop reports of peers that are too old to be used."""
         for table in (self._peers, self._peer_rejected):
-            for peer in [p for p, (at, _) in table.items() if now - at > PEER_COUNTS_LAST]:
+            for peer in [p for p, (at, _) in table.items() if now - at > PEER_COUNTS_MAX_AGE]:
                 del table[peer]
 
     def suspect(self, target: str, now: float) -> None:
@@ -200,7 +203,7 @@
         """Return the incarnations that requested a back-off from this host."""
         return list(self.backoffs.active(now))
 
-    def hear_backoffs(self, incarnations: Collection[str], now: float) -> None:
+    def apply_peer_backoffs(self, incarnations: Collection[str], now: float) -> None:
         """Record incarnations that requested a back-off from a peer; they are chosen last here."""
         known = self._peer_backoff_until
         self._peer_backoff_until = {i: until for i, until in known.items() if until > now}
@@ -212,7 +215,7 @@
         until = self._suspect_until.get(target, 0.0)
         return max(until, self._peer_suspect_until.get(target, 0.0)) > now
 
-    def any_load(self) -> bool:
+    def has_load(self) -> bool:
         """Return whether any entry host is known to have a request in flight."""
         return bool(self._own) or any(counts for _, counts in self._peers.values())
 
@@ -220,7 +223,7 @@
         """Return the known number of requests in flight at a target."""
         total = self._own.get(target, 0)
         for at, counts in self._peers.values():
-            if now - at <= PEER_COUNTS_LAST:
+            if now - at <= PEER_COUNTS_MAX_AGE:
                 total += counts.get(target, 0)
         return total
 
@@ -248,12 +251,12 @@
             request would take the others along again and could not be told from them
         """
         untried = [c for c in candidates if c.target not in tried]
-        available = [c for c in untried if self.backoffs.may_take(c.lives[0], now)]
+        available = [c for c in untried if self.backoffs.may_place(c.incarnations[0], now)]
         self.backoffs.held_back += len(untried) - len(available)
         eligible = self._within_limits(available, now)
         sound = [c for c in eligible if not self._is_doubtful(c, now)]
         with_capacity = [c for c in sound if self._has_capacity(c, now, max_load)]
-        if not with_capacity and len(sound) <= len(eligible) * (1 - BELIEVED):
+        if not with_capacity and len(sound) <= len(eligible) * (1 - MAX_SUSPECT_FRACTION):
             # A burst of requests makes one group after another late for some caller. If each of
             # them were avoided for two seconds, the others would be overloaded and avoided in turn,
             # and callers would be rejected while most groups are idle. A network partition affects
@@ -267,13 +270,13 @@
         return min(sampled, key=lambda c: (self._rank(c, now, connected), self._rng.random()))
 
     def _is_doubtful(self, candidate: Candidate, now: float) -> bool:
-        until = self._peer_backoff_until.get(candidate.lives[0], 0.0)
+        until = self._peer_backoff_until.get(candidate.incarnations[0], 0.0)
         return until > now or self.is_suspect(candidate.target, now)
 
     def _within_limits(self, candidates: Sequence[Candidate], now: float) -> Sequence[Candidate]:
         if not self.limits.known:
             return candidates
-        within = [c for c in candidates if self.limits.may_send(c.lives, now)]
+        within = [c for c in candidates if self.limits.may_send(c.incarnations, now)]
         self.limits.held_back += len(candidates) - len(within)
         return within
 
@@ -282,22 +285,22 @@
 
         :return: ``None`` unless all targets have a rate limit
         """
-        rates = [self.limits.rate(c.lives) for c in candidates] if self.limits.known else []
+        rates = [self.limits.rate(c.incarnations) for c in candidates] if self.limits.known else []
         limited = [r for r in rates if r is not None]
         if not limited or len(limited) < len(rates):
             return None
-        return (1 + self.turned_away(model, now)) / sum(limited)
+        return (1 + self.rejections(model, now)) / sum(limited)
 
     def backoff_left(self, candidates: Sequence[Candidate], now: float) -> float | None:
         """Return the seconds until the first back-off from one of the targets ends.
 
         :return: ``None`` if this host doesn't back off from at least one of them
         """
-        return self.backoffs.until_one_ends([c.lives[0] for c in candidates], now)
+        return self.backoffs.seconds_to_first_end([c.incarnations[0] for c in candidates], now)
 
-    def taken_by_limits(self, candidate: Candidate) -> float:
+    def slots_lost_to_limits(self, candidate: Candidate) -> float:
         """Return how many slots of a target stay unused because of its rate limit."""
-        rate = self.limits.rate(candidate.lives) if self.limits.known else None
+        rate = self.limits.rate(candidate.incarnations) if self.limits.known else None
         return 0.0 if rate is None else max(0.0, candidate.host.slots - rate * REQUEST_SECONDS)
 
     def _sample(
@@ -307,12 +310,12 @@
 
         Targets with an open connection are always included, as are those whose rate limit allows
         this host a request now: they are few, and differ from host to host. The sample of the rest
-        is so small that a target that is the best for all hosts gets :data:`HERD` requests before
-        these requests show in the counts.
+        is so small that a target that is the best for all hosts gets :data:`HERD_LIMIT` requests
+        before these requests show in the counts.
         """
         in_flight = sum(self.load(c.target, now) for c in candidates)
-        unreported = in_flight / REQUEST_SECONDS * self.heard_later
-        if unreported <= HERD:
+        unreported = in_flight / REQUEST_SECONDS * self.peer_report_delay
+        if unreported <= HERD_LIMIT:
             return candidates
         included = [connected(c.host.address) or self._is_limited(c) for c in candidates]
         sample = [c for c, is_in in zip(candidates, included, strict=True) if is_in]
@@ -320,11 +323,11 @@
         local = [c for c in rest if c.host.data_centre == self._data_centre]
         remote = [c for c in rest if c.host.data_centre != self._data_centre]
         for part in (local, remote):
-            sample += self._rng.sample(part, math.ceil(len(part) * HERD / unreported))
+            sample += self._rng.sample(part, math.ceil(len(part) * HERD_LIMIT / unreported))
         return sample
 
     def _is_limited(self, candidate: Candidate) -> bool:
-        return self.limits.known and self.limits.is_limited(candidate.lives)
+        return self.limits.known and self.limits.is_limited(candidate.incarnations)
 
     def _has_capacity(self, candidate: Candidate, now: float, max_load: float) -> bool:
         return self.load(candidate.target, now) < candidate.host.slots * max_load
--- a/src/oleanderhill/serving/prediction.py
+++ b/src/oleanderhill/serving/prediction.py
@@ -19,11 +19,11 @@
     """Predicted timing of a full group that serves a model.
 
     :param first_event: seconds from the start of a request at the group to its first event
-    :param place_every: seconds between two slots that become free
+    :param slot_interval: seconds between two slots that become free
     """
 
     first_event: float
-    place_every: float
+    slot_interval: float
 
 
 def predict(shape: EngineShape, model: ModelShape) -> Prediction | None:
@@ -45,13 +45,13 @@
     return Prediction(first, total / max(1, shape.batch))
 
 
-def may_wait(prediction: Prediction, goal: float, slots: int) -> float:
+def max_waiting(prediction: Prediction, goal: float, slots: int) -> float:
     """Return how many requests may wait at a full group with the last one still on time.
 
     :param goal: seconds within which the first event is on time
     """
     spare = goal - ROUND_TRIP - prediction.first_event
-    return min(MAX_QUEUE_FRACTION * slots, max(0.0, spare / prediction.place_every))
+    return min(MAX_QUEUE_FRACTION * slots, max(0.0, spare / prediction.slot_interval))
 
 
 def _step_seconds(times: EngineTimes, batch: int) -> float:
--- a/src/oleanderhill/serving/quarantine.py
+++ b/src/oleanderhill/serving/quarantine.py
@@ -1,6 +1,6 @@
 """Detects requests that crash targets, sends updates to peers, and records them in the store.
 
-The decisions are made without I/O in :mod:`..routing.endings`. This task checks whether a target
+The decisions are made without I/O in :mod:`..routing.crashes`. This task checks whether a target
 whose connections were lost still listens, writes quarantined requests to the store, where the
 records outlive all entry hosts, and logs when a request becomes suspect, is quarantined or cleared.
 """
@@ -14,15 +14,15 @@
 import msgspec
 from returns.pipeline import is_successful
 
-from ..clients.listening import LOOK_AFTER, Listening
+from ..clients.listening import CHECK_DELAYS, ListenStatus
 from ..clients.storage import NEVER, Item, Lease, Revision, Storage, StoreConflictError, Write
 from ..clock import awake_or_not
 from ..groups.inventory import Inventory
-from ..groups.ownership import Presence, ranked
+from ..groups.ownership import Presence, rank_by_strength
 from ..kernel import Kernel, Task
 from ..outcomes import Problem, Ran
 from ..records import Records
-from ..routing.endings import ENOUGH, REMEMBERED, EndingBook, EndingNews
+from ..routing.crashes import MIN_CRASHES, QUARANTINE_SECONDS, CrashTracker, EndingNews
 from ..types import Member
 
 QUARANTINE_PREFIX = "oleanderhill/quarantined/"
@@ -90,7 +90,7 @@
         storage: Storage,
         inventory: Inventory,
         alive: Callable[[], Mapping[str, Presence]],
-        check_listening: Callable[[str, str], Awaitable[Listening]],
+        check_listening: Callable[[str, str], Awaitable[ListenStatus]],
         records: Records,
     ) -> None:
         super().__init__(kernel)
@@ -100,7 +100,7 @@
         self._alive = alive
         self._check_listening = check_listening
         self._records = records
-        self._crashes = EndingBook()
+        self._crashes = CrashTracker()
         self._stored: dict[str, _Stored] = {}
         self._restored = False
         self._storing: set[str] = set()
@@ -124,7 +124,7 @@
 
     # Interface for requests
 
-    def problem(self, identity: str, ran: Ran) -> Problem | None:
+    def rejection_for(self, identity: str, ran: Ran) -> Problem | None:
         """Return why a request must not be sent, ``None`` if it may be."""
         return self._crashes.problem(identity, awake_or_not(), ran)
 
@@ -132,9 +132,9 @@
         """Return whether a request may be sent now."""
         return self._crashes.quarantined(identity) is None
 
-    def endings(self, identity: str) -> int:
+    def crash_count(self, identity: str) -> int:
         """Return how many targets are known to have crashed under a request."""
-        return len(self._crashes.endings_of(identity))
+        return len(self._crashes.crashes_of(identity))
 
     def begin(self, identity: str) -> asyncio.Future[None]:
         """Return a future that completes if a request is quarantined while it is at a target."""
@@ -149,12 +149,12 @@
         if not waiters:
             self._waiters.pop(identity, None)
 
-    def lost(self, identity: str, request_id: str, at: Member, ran_for: float) -> None:
+    def attempt_lost(self, identity: str, request_id: str, at: Member, ran_for: float) -> None:
         """Record that an attempt was lost at a target after it was sent.
 
         :param ran_for: seconds that it spent there
         """
-        known = self._inventory.life_of(at.host)
+        known = self._inventory.incarnation_of(at.host)
         if known is None or self._inventory.by_instance[known].leaving:
             # A leaving target closes connections as planned, so a loss is no evidence of a crash.
             return
@@ -166,11 +166,11 @@
             False,
             same_as=identity,
             instance=incarnation,
-            losses=self._crashes.suspicion(identity),
+            losses=self._crashes.loss_count(identity),
             ran_s=round(ran_for, 3),
         )
         if str(known) != incarnation:
-            self.over(incarnation, "listed in a later incarnation")
+            self.incarnation_ended(incarnation, "listed in a later incarnation")
         elif new:
             self.put(TargetCheck(at.host, incarnation, at.address))
 
@@ -186,26 +186,26 @@
 
         :param asked: whether it answered a check that was made after its connections were lost
         """
-        if self._crashes.lives(incarnation, awake_or_not(), asked):
+        if self._crashes.record_sign_of_life(incarnation, awake_or_not(), asked):
             self._records.note("quarantine", "incarnation still running", instance=incarnation)
 
-    def over(self, incarnation: str, reason: str) -> None:
+    def incarnation_ended(self, incarnation: str, reason: str) -> None:
         """Record that an incarnation is known to have ended."""
         self._handle_quarantined(
-            self._crashes.over(incarnation, awake_or_not()), f"{incarnation} {reason}", 0.0
+            self._crashes.confirm_ended(incarnation, awake_or_not()), f"{incarnation} {reason}", 0.0
         )
 
     # Interface for peers
 
-    def news(self, again: bool) -> list[EndingNews]:
+    def pending_updates(self, again: bool) -> list[EndingNews]:
         """Return the updates to send to peers."""
-        return self._crashes.news(self._me.name, awake_or_not(), again)
+        return self._crashes.pending_updates(self._me.name, awake_or_not(), again)
 
-    def hear(self, update: EndingNews) -> None:
+    def apply_peer_update(self, update: EndingNews) -> None:
         """Apply an update from a peer."""
         oldest = max((c.age for c in update.quarantined.values()), default=0.0)
         self._handle_quarantined(
-            self._crashes.hear(update, awake_or_not()), f"peer {update.sender}", oldest
+            self._crashes.apply_peer_update(update, awake_or_not()), f"peer {update.sender}", oldest
         )
 
     # Interface for the store
@@ -244,7 +244,7 @@
         reason = f"store, by {record.host}"
         if not record.quarantined:
             self._records.note("quarantine", "suspected", same_as=identity, reason=reason)
-            found = self._crashes.recall(record.endings, awake_or_not())
+            found = self._crashes.restore_crashes(record.endings, awake_or_not())
             self._handle_quarantined(found, reason, 0.0)
         elif self._crashes.quarantine(identity, tuple(record.endings), awake_or_not()):
             self._handle_quarantined([identity], reason, 0.0)
@@ -274,8 +274,8 @@
                 if not waiter.done():
                     waiter.set_result(None)
             self._ensure_stored(identity)
-        for identity in self._crashes.take_suspected():
-            incarnations = list(self._crashes.endings_of(identity))
+        for identity in self._crashes.pop_new_suspects():
+            incarnations = list(self._crashes.crashes_of(identity))
             self._records.note(
                 "quarantine", "suspected", same_as=identity, lives=incarnations, reason=reason
             )
@@ -297,7 +297,7 @@
         """Return whether a request is quarantined or has enough crashes to be stored."""
         if self._crashes.quarantined(identity) is not None:
             return True
-        return len(self._crashes.endings_of(identity)) >= ENOUGH
+        return len(self._crashes.crashes_of(identity)) >= MIN_CRASHES
 
     def dispatch(self, message: object) -> None:
         """Handle a message; the only kind requests a check of a target."""
@@ -305,14 +305,14 @@
             self.spawn(self._check_target(message))
 
     async def _check_target(self, check: TargetCheck) -> None:
-        found = Listening.SILENT
-        for seconds in LOOK_AFTER:
+        found = ListenStatus.SILENT
+        for seconds in CHECK_DELAYS:
             await asyncio.sleep(seconds)
             found = await self._check_listening(check.host, check.address)
-            if found == Listening.REFUSED:
-                self.over(check.incarnation, "refuses connections")
+            if found == ListenStatus.REFUSED:
+                self.incarnation_ended(check.incarnation, "refuses connections")
                 break
-            if found == Listening.THE_SAME:
+            if found == ListenStatus.SAME_INCARNATION:
                 self.progress(check.incarnation, asked=True)
                 break
         self._records.note("quarantine", "looked", instance=check.incarnation, found=found.value)
@@ -320,7 +320,7 @@
     async def _store_record(self, identity: str) -> None:
         """Write the record of a request to the store, unless another entry host does."""
         try:
-            order = ranked(f"quarantined/{identity}", self._alive().values(), WRITERS)
+            order = rank_by_strength(f"quarantined/{identity}", self._alive().values(), WRITERS)
             if self._me.name not in order:
                 return
             await asyncio.sleep(order.index(self._me.name) * WRITE_STAGGER)
@@ -335,11 +335,11 @@
 
     async def _write(self, identity: str) -> bool:
         """Write a record under its own lease; return whether the store has a record now."""
-        granted = await self._storage.grant(REMEMBERED)
+        granted = await self._storage.grant(QUARANTINE_SECONDS)
         if not is_successful(granted):
             return False
         quarantined = self._crashes.quarantined(identity)
-        endings = self._crashes.endings_of(identity) or {i: {} for i in quarantined or ()}
+        endings = self._crashes.crashes_of(identity) or {i: {} for i in quarantined or ()}
         record = QuarantineRecord(self._me.name, endings, quarantined is not None)
         key, stored = QUARANTINE_PREFIX + identity, self._stored.get(identity)
         write = Write(key, msgspec.json.encode(record), granted.unwrap())
--- a/src/oleanderhill/serving/reports.py
+++ b/src/oleanderhill/serving/reports.py
@@ -14,8 +14,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from ..groups.ownership import Presence, ranked
-from .retries import RetryCount, counted
+from ..groups.ownership import Presence, rank_by_strength
+from .retries import RetryCount, sum_counts
 
 MAX_MESH_HOSTS = 12
 """Largest number of entry hosts that form a full mesh, in which reports are one hop old."""
@@ -45,7 +45,7 @@
     :param counts: requests in flight by target
     :param suspects: targets that were observed to stall
     :param progress: seconds since a target last sent data, by target
-    :param turned_away: requests rejected in the last second because no target was available, by
+    :param rejections: requests rejected in the last second because no target was available, by
         model
     :param retries: requests and retries in the sliding window, by service
     :param backing_off: target incarnations that asked a sender to back off
@@ -58,48 +58,50 @@
     counts: dict[str, int]
     suspects: list[str]
     progress: dict[str, float]
-    turned_away: dict[str, int]
+    rejections: dict[str, int]
     retries: dict[str, RetryCount] = {}
     backing_off: list[str] = []
 
 
-class Audience(NamedTuple):
+class ReportRecipients(NamedTuple):
     """The entry hosts to which a host sends its reports.
 
     :param own: receive the host's own report
-    :param hubs: aggregators of other data centres, receive the sum of the host's data centre
-    :param neighbours: hosts of the same data centre, receive the total
+    :param aggregators: aggregators of other data centres, receive the sum of the host's data centre
+    :param local_hosts: hosts of the same data centre, receive the total
     """
 
     own: tuple[str, ...] = ()
-    hubs: tuple[str, ...] = ()
-    neighbours: tuple[str, ...] = ()
+    aggregators: tuple[str, ...] = ()
+    local_hosts: tuple[str, ...] = ()
 
     @property
     def all(self) -> tuple[str, ...]:
         """All recipients of any report."""
-        return (*self.own, *self.hubs, *self.neighbours)
+        return (*self.own, *self.aggregators, *self.local_hosts)
 
 
-def hub_ranking(data_centre: str, alive: Mapping[str, Presence]) -> tuple[str, ...]:
+def aggregator_ranking(data_centre: str, alive: Mapping[str, Presence]) -> tuple[str, ...]:
     """Return the aggregator of a data centre and its backup."""
     local = [p for p in alive.values() if p.data_centre == data_centre]
-    return ranked(f"hub/{data_centre}", local, 2)
+    return rank_by_strength(f"hub/{data_centre}", local, 2)
 
 
 def aggregator_rankings(alive: Mapping[str, Presence]) -> dict[str, tuple[str, ...]]:
     """Return the aggregator and its backup for each data centre."""
-    return {d: hub_ranking(d, alive) for d in sorted({p.data_centre for p in alive.values()})}
+    return {
+        d: aggregator_ranking(d, alive) for d in sorted({p.data_centre for p in alive.values()})
+    }
 
 
-def audience(
+def report_recipients(
     me: Presence,
     alive: Mapping[str, Presence],
     rankings: Mapping[str, tuple[str, ...]],
     reporters: Iterable[str],
     aggregator_silent: bool,
     remote_senders: Iterable[str] = (),
-) -> Audience:
+) -> ReportRecipients:
     """Return the current recipients of a host's reports.
 
     :param rankings: result of :func:`aggregator_rankings` for the live entry hosts
@@ -110,15 +112,15 @@
         includes a backup that has replaced a failed aggregator
     """
     if len(alive) <= MAX_MESH_HOSTS:
-        return Audience(own=tuple(n for n in alive if n != me.name))
+        return ReportRecipients(own=tuple(n for n in alive if n != me.name))
     ranking = rankings.get(me.data_centre, ())
-    neighbours = tuple(n for n in reporters if n in alive)
-    if me.name in ranking[:1] or neighbours:
+    local_hosts = tuple(n for n in reporters if n in alive)
+    if me.name in ranking[:1] or local_hosts:
         remote = [h for d, r in rankings.items() if d != me.data_centre for h in r[:1]]
-        hubs = dict.fromkeys([*remote, *(h for h in remote_senders if h in alive)])
-        return Audience(hubs=tuple(hubs), neighbours=neighbours)
+        aggregators = dict.fromkeys([*remote, *(h for h in remote_senders if h in alive)])
+        return ReportRecipients(aggregators=tuple(aggregators), local_hosts=local_hosts)
     recipients = ranking if aggregator_silent else ranking[:1]
-    return Audience(own=tuple(n for n in recipients if n != me.name))
+    return ReportRecipients(own=tuple(n for n in recipients if n != me.name))
 
 
 def aggregate(
@@ -128,7 +130,7 @@
     counts: dict[str, int] = {}
     suspects: set[str] = set()
     progress: dict[str, float] = {}
-    turned_away: dict[str, int] = {}
+    rejections: dict[str, int] = {}
     retries: dict[str, list[RetryCount]] = {}
     backing_off: set[str] = set()
     for report in reports:
@@ -136,13 +138,13 @@
             counts[target] = counts.get(target, 0) + count
         for target, age in report.progress.items():
             progress[target] = min(age, progress.get(target, age))
-        for model, count in report.turned_away.items():
-            turned_away[model] = turned_away.get(model, 0) + count
+        for model, count in report.rejections.items():
+            rejections[model] = rejections.get(model, 0) + count
         for service, retry_count in report.retries.items():
             retries.setdefault(service, []).append(retry_count)
         suspects.update(report.suspects)
         backing_off.update(report.backing_off)
-    retries_by_service = {s: counted(c) for s, c in retries.items()}
+    retries_by_service = {s: sum_counts(c) for s, c in retries.items()}
     return LoadReport(
         sender,
         scope,
@@ -151,7 +153,7 @@
         counts,
         sorted(suspects),
         progress,
-        turned_away,
+        rejections,
         retries_by_service,
         sorted(backing_off),
     )
@@ -160,11 +162,11 @@
 def subtract(total: LoadReport, own: LoadReport) -> LoadReport:
     """Return a total minus the contribution that one host last reported."""
     counts = {t: max(0, n - own.counts.get(t, 0)) for t, n in total.counts.items()}
-    turned_away = {m: max(0, n - own.turned_away.get(m, 0)) for m, n in total.turned_away.items()}
+    rejections = {m: max(0, n - own.rejections.get(m, 0)) for m, n in total.rejections.items()}
     retries = {
         s: _subtract_retries(c, own.retries.get(s, RetryCount())) for s, c in total.retries.items()
     }
-    return total._replace(counts=counts, turned_away=turned_away, retries=retries)
+    return total._replace(counts=counts, rejections=rejections, retries=retries)
 
 
 def _subtract_retries(count: RetryCount, own: RetryCount) -> RetryCount:
@@ -180,7 +182,7 @@
             counts={t: report.counts[t] for t in chunk if t in report.counts},
             suspects=[t for t in chunk if t in suspects],
             progress={t: report.progress[t] for t in chunk if t in report.progress},
-            turned_away={} if number else report.turned_away,
+            rejections={} if number else report.rejections,
             retries={} if number else report.retries,
             backing_off=[t for t in chunk if t in backing_off],
         )
--- a/src/oleanderhill/serving/retries.py
+++ b/src/oleanderhill/serving/retries.py
@@ -31,7 +31,7 @@
 """Seconds after which a host's retries are known to all others: the age of a total, plus a margin
 for lost datagrams."""
 
-HEARD_LASTS = 0.6
+PEER_COUNT_MAX_AGE = 0.6
 """Seconds for which counts from peers are used. After that a host relies on its own share."""
 
 
@@ -46,7 +46,7 @@
     retries: int = 0
 
 
-def counted(counts: Iterable[RetryCount]) -> RetryCount:
+def sum_counts(counts: Iterable[RetryCount]) -> RetryCount:
     """Return the sum of counts."""
     return RetryCount(*(sum(column) for column in zip(*counts, strict=True)))
 
@@ -79,20 +79,22 @@
                 times.popleft()
         return RetryCount(1, len(self._requests), len(self._retries))
 
-    def hear(self, sender: str, count: RetryCount, now: float) -> None:
+    def apply_peer_update(self, sender: str, count: RetryCount, now: float) -> None:
         """Apply a count of other hosts from a sender; it replaces the sender's previous one."""
         self._peer_counts[sender] = (now, count)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Return how many retries this host may still take.
 
         The remainder of the pool is divided among the hosts in it. Retries that the other hosts
         don't know of yet are deducted from this host's part only.
         """
         self._peer_counts = {
-            s: entry for s, entry in self._peer_counts.items() if now - entry[0] <= HEARD_LASTS
+            s: entry
+            for s, entry in self._peer_counts.items()
+            if now - entry[0] <= PEER_COUNT_MAX_AGE
         }
-        count = counted([self.own(now), *(c for _, c in self._peer_counts.values())])
+        count = sum_counts([self.own(now), *(c for _, c in self._peer_counts.values())])
         recent = sum(1 for at in self._retries if at > now - PEER_COUNT_DELAY)
         return (self._pool(count) + recent) / count.hosts - recent
 
@@ -103,7 +105,7 @@
 
     def take(self, now: float) -> bool:
         """Take one retry from the budget; return whether one was left."""
-        if self.left(now) < 1.0:
+        if self.remaining(now) < 1.0:
             return False
         self._retries.append(now)
         return True
--- a/src/oleanderhill/serving/comeback.py
+++ b/src/oleanderhill/serving/retry_delay.py
@@ -21,7 +21,7 @@
 """Upper bound in seconds on the delay, since rate limits are often stated for a short time only."""
 
 
-def come_back(
+def retry_delay(
     serves: bool,
     rng: random.Random,
     limited_for: float | None = None,
--- a/src/oleanderhill/serving/patience.py
+++ b/src/oleanderhill/serving/stall_timeout.py
@@ -21,7 +21,7 @@
 It leaves enough time for a second target to answer."""
 
 
-def stall_after(route: Route, begun: bool) -> float:
+def stall_timeout_for(route: Route, begun: bool) -> float:
     """Return the seconds without progress after which a target counts as stalled.
 
     :param begun: whether the first event has arrived
--- a/src/oleanderhill/serving/target_limits.py
+++ b/src/oleanderhill/serving/target_limits.py
@@ -15,24 +15,24 @@
 from ..records import Records
 from ..routing.target_limits import (
     UNREADABLE_RATE,
-    Asked,
-    LimitChange,
-    LimitNews,
+    CallKind,
+    LimitUpdate,
+    RateChange,
     TargetLimits,
 )
-from .forwarding import NamedLimit
+from .forwarding import StatedLimit
 
 PROBE_INTERVAL = 2.0
 """Seconds between two probes of a rate-limited member of a group that gets no requests."""
 
 
-class Source(NamedTuple):
+class StatementSource(NamedTuple):
     """Origin of a stated limit.
 
     :param asked_at: when the request that the target answered was sent
     """
 
-    asked: Asked
+    asked: CallKind
     asked_at: float
     request_id: str = ""
 
@@ -72,7 +72,7 @@
         if not self._limits.known:
             return
         for incarnations in self._groups():
-            for incarnation in self._limits.to_ask(incarnations):
+            for incarnation in self._limits.members_to_probe(incarnations):
                 host = self._inventory.host(incarnation)
                 if host is not None and self._may_probe(host.instance):
                     self.spawn(self._probe_host(host))
@@ -80,37 +80,41 @@
     async def _probe_host(self, host: TargetHost) -> None:
         await self._probe(host.instance, host.address)
 
-    def answered(self, incarnation: str, stated: NamedLimit | None, source: Source) -> None:
+    def answered(
+        self, incarnation: str, stated: StatedLimit | None, source: StatementSource
+    ) -> None:
         """Apply what an answer states about its target's limit."""
         now = time.monotonic()
         rate = None if stated is None else stated.rate
         if stated is not None and rate is None:
-            known = self._limits.rate_by_life.get(incarnation, UNREADABLE_RATE)
+            known = self._limits.rate_by_incarnation.get(incarnation, UNREADABLE_RATE)
             rate = min(known, UNREADABLE_RATE)
         change = self._limits.answered(incarnation, rate, source.asked, source.asked_at, now)
         if change is not None:
             text = stated.text if stated is not None else ""
             self._log_change(change, source.asked.value, request_id=source.request_id, value=text)
 
-    def news(self) -> list[LimitNews]:
+    def pending_updates(self) -> list[LimitUpdate]:
         """Return the updates to send to peers."""
-        return self._limits.news(time.monotonic())
+        return self._limits.pending_updates(time.monotonic())
 
-    def hear(self, update: LimitNews) -> None:
+    def apply_peer_update(self, update: LimitUpdate) -> None:
         """Apply an update from a peer."""
         find_host = self._inventory.host
-        changes = self._limits.hear(update, lambda i: find_host(i) is not None, time.monotonic())
+        changes = self._limits.apply_peer_update(
+            update, lambda i: find_host(i) is not None, time.monotonic()
+        )
         for change in changes:
             self._log_change(change, f"peer {update.sender}")
 
-    def reach(self, hosts: Mapping[str, object], in_touch: bool) -> None:
+    def update_hosts(self, hosts: Mapping[str, object], has_peers: bool) -> None:
         """Record the present entry hosts, and whether updates from some of them arrive."""
-        self._limits.reach(hosts, in_touch, time.monotonic())
+        self._limits.update_hosts(hosts, has_peers, time.monotonic())
 
     def show(self, exposition: Exposition) -> None:
         """Register the metrics."""
         show, limits = exposition.gauge, self._limits
-        show("target_limits", "Targets with a rate limit", lambda: len(limits.rate_by_life))
+        show("target_limits", "Targets with a rate limit", lambda: len(limits.rate_by_incarnation))
         show("limit_share", "Requests a second that this host may send them", lambda: limits.share)
         show("limit_sent", "Requests sent within limits", lambda: limits.sent)
         show("limit_held_back", "Times that a target was skipped for a limit", self._times_skipped)
@@ -118,20 +122,20 @@
     def _times_skipped(self) -> int:
         return self._limits.held_back
 
-    def over(self, incarnation: str) -> None:
+    def incarnation_ended(self, incarnation: str) -> None:
         """Drop the limit of an incarnation that has ended."""
         self._limits.forget(incarnation)
 
-    def _log_change(self, change: LimitChange, source: str, **fields: object) -> None:
+    def _log_change(self, change: RateChange, source: str, **fields: object) -> None:
         what = "ended" if change.rate is None else "named" if change.before is None else "changed"
         self._records.note(
             "limit",
             what,
-            instance=change.life,
+            instance=change.incarnation,
             rate=change.rate,
             before=change.before,
             version=change.version,
-            sharers=self._limits.sharers(change.life),
+            sharers=self._limits.sharers(change.incarnation),
             source=source,
             **fields,
         )
--- a/src/oleanderhill/serving/view.py
+++ b/src/oleanderhill/serving/view.py
@@ -9,11 +9,11 @@
 from ..clients.keyed import KeyedCopy
 from ..groups.inventory import Inventory
 from ..groups.plans import DomainPlan
-from ..groups.router import ServingGroup, serving_groups
+from ..groups.serving_groups import ServingGroup, serving_groups
 from ..settings.catalog import Catalog
-from .comeback import come_back
-from .placing import Candidate
-from .prediction import Prediction, may_wait, predict
+from .placement import Candidate
+from .prediction import Prediction, max_waiting, predict
+from .retry_delay import retry_delay
 
 DEMAND_SMOOTHING = 0.15
 """Weight of the newest sample of requests in flight in the moving average. With one sample per
@@ -130,7 +130,7 @@
             return plain
         return [c for c in self._by_model.get(model, ()) if c.host.service == service]
 
-    def waiting(self, model: str, goal: float) -> float | None:
+    def max_waiting(self, model: str, goal: float) -> float | None:
         """Return how many requests may queue at a group of a model, as a fraction of its slots.
 
         :param goal: seconds within which the last of them should receive its first event
@@ -139,9 +139,9 @@
         prediction = self._prediction_by_model.get(model)
         if prediction is None:
             return None
-        return may_wait(prediction, goal, self._slots) / max(1, self._slots)
+        return max_waiting(prediction, goal, self._slots) / max(1, self._slots)
 
-    def come_back(
+    def retry_delay(
         self,
         service: str,
         model: str,
@@ -155,7 +155,7 @@
             from all of them
         """
         serves = bool(self.candidates(service, model))
-        return come_back(serves, self._rng, limited_for, backoff_left)
+        return retry_delay(serves, self._rng, limited_for, backoff_left)
 
     def groups_by_model(self) -> dict[str, int]:
         """Return the number of serving groups by model."""
@@ -163,42 +163,46 @@
 
     def groups(self) -> Iterable[tuple[str, ...]]:
         """Return the incarnations of each serving group's members, the head first."""
-        return (c.lives for candidates in self._by_model.values() for c in candidates)
+        return (c.incarnations for candidates in self._by_model.values() for c in candidates)
 
     def targets(self) -> int:
         """Return the number of serving targets of all services and models."""
         candidate_lists = (*self._by_model.values(), *self._by_service.values())
         return sum(len(candidates) for candidates in candidate_lists)
 
-    def measure(
+    def update_demand(
         self,
         load: Callable[[str], int],
-        turned_away: Callable[[str], int],
-        taken: Callable[[Candidate], float],
+        rejections: Callable[[str], int],
+        slots_lost_to_limits: Callable[[Candidate], float],
     ) -> None:
         """Update the moving average of the demand for each model.
 
         :param load: returns the requests in flight at a target
-        :param turned_away: returns the requests for a model rejected within the last second, which
+        :param rejections: returns the requests for a model rejected within the last second, which
             is about the duration of a request. Without them, a model whose last group is lost would
             appear to have no demand
-        :param taken: returns the slots of a target that its rate limit leaves unused. They serve no
-            requests, so other slots are needed in their place
+        :param slots_lost_to_limits: returns the slots of a target that its rate limit leaves
+            unused. They serve no requests, so other slots are needed in their place
         """
         for model in self._by_model.keys() | self._demand_by_model.keys():
             candidates = self._by_model.get(model, ())
             slots = max((c.host.slots for c in candidates), default=self._slots)
             self._slots = slots
-            requests = sum(load(c.target) + taken(c) for c in candidates) + turned_away(model)
+            requests = sum(
+                load(c.target) + slots_lost_to_limits(c) for c in candidates
+            ) + rejections(model)
             previous = self._demand_by_model.get(model, 0.0)
             occupied = requests / max(1, slots)
             self._demand_by_model[model] = previous + DEMAND_SMOOTHING * (occupied - previous)
 
     def demand(self, model: str) -> float:
         """Return a model's demand in groups: its occupancy plus the weighted expected share."""
-        return EXPECTED_DEMAND_WEIGHT * self._expected_by_model.get(model, 0.0) + self.filled(model)
+        return EXPECTED_DEMAND_WEIGHT * self._expected_by_model.get(
+            model, 0.0
+        ) + self.occupied_groups(model)
 
-    def filled(self, model: str) -> float:
+    def occupied_groups(self, model: str) -> float:
         """Return how many groups of a model the requests of the last seconds occupy."""
         return self._demand_by_model.get(model, 0.0)
 
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -8,12 +8,12 @@
 from oleanderhill_dev.users.site import until
 from tornado.httputil import HTTPHeaders
 
-from oleanderhill.groups.actions import Leave, OrderEnd
+from oleanderhill.groups.actions import Leave, OrderOutcome
 from oleanderhill.groups.inventory import Instance, TargetHost
 from oleanderhill.platform.headers import UNREADABLE_BACKOFF, HeaderCodec
 from oleanderhill.routing.backoffs import Backoffs
-from oleanderhill.serving import comeback
-from oleanderhill.serving.placing import Candidate, LoadBook
+from oleanderhill.serving import retry_delay
+from oleanderhill.serving.placement import Candidate, LoadTracker
 
 from .test_users_site import SiteTest
 
@@ -95,8 +95,8 @@
         instance = Instance(heads[0].instance, heads[0].born)
         order = Leave(heads[0].group["name"], heads[0].group["epoch"], instance)
         orders = self.entry._orders
-        self.assertEqual(await orders.give(order, heads[0].address, 1), OrderEnd.HELD_BACK)
-        self.assertFalse(orders.may_ask(instance))
+        self.assertEqual(await orders.send(order, heads[0].address, 1), OrderOutcome.HELD_BACK)
+        self.assertFalse(orders.may_contact(instance))
         self.assertEqual(len(heads[0].orders), orders_before)
 
     async def test_request_placed_before_the_news_is_held_back(self):
@@ -106,8 +106,8 @@
         def choose(candidates, tried, *more, **others):
             found = original_choose(candidates, tried, *more, **others)
             if not first and found is not None:
-                first.append(found.lives[0])
-                self.entry._book.backoffs.ask(first[0], BACKOFF, time.monotonic())
+                first.append(found.incarnations[0])
+                self.entry._book.backoffs.extend(first[0], BACKOFF, time.monotonic())
             return found
 
         self.entry._book.choose = choose
@@ -140,44 +140,44 @@
                 match rng.randrange(4):
                     case 0:
                         seconds = rng.choice((0.1, 1.0, 3.0, 1e9))
-                        backoffs.ask(incarnation, seconds, now)
+                        backoffs.extend(incarnation, seconds, now)
                         end_by_incarnation[incarnation] = max(
                             end_by_incarnation.get(incarnation, 0.0), now + seconds
                         )
                     case 1:
                         backoffs.forget(incarnation)
                         end_by_incarnation.pop(incarnation, None)
-                    case 2 if backoffs.may_take(incarnation, now):
+                    case 2 if backoffs.may_place(incarnation, now):
                         backoffs.take(incarnation)
-                        backoffs.trial_taken(incarnation, now)
+                        backoffs.trial_accepted(incarnation, now)
                     case 3:
                         backoffs.trial_ended(incarnation)
                 for name in "abc":
                     backed_off = end_by_incarnation.get(name, 0.0) > now
                     self.assertEqual(backoffs.may_send(name, now), not backed_off, seed)
-                    self.assertFalse(backed_off and backoffs.may_take(name, now), seed)
+                    self.assertFalse(backed_off and backoffs.may_place(name, now), seed)
 
     def test_one_request_at_a_time_tries_a_target_after_its_time(self):
-        self.backoffs.ask("t", 2.0, 10.0)
-        self.assertFalse(self.backoffs.may_take("t", 11.9))
-        self.assertTrue(self.backoffs.may_take("t", 12.0))
+        self.backoffs.extend("t", 2.0, 10.0)
+        self.assertFalse(self.backoffs.may_place("t", 11.9))
+        self.assertTrue(self.backoffs.may_place("t", 12.0))
         self.assertTrue(self.backoffs.take("t"))
-        self.assertFalse(self.backoffs.may_take("t", 12.1))
+        self.assertFalse(self.backoffs.may_place("t", 12.1))
         self.backoffs.trial_ended("t")
-        self.assertTrue(self.backoffs.may_take("t", 12.2))
+        self.assertTrue(self.backoffs.may_place("t", 12.2))
         self.backoffs.take("t")
-        self.assertTrue(self.backoffs.trial_taken("t", 12.3))
+        self.assertTrue(self.backoffs.trial_accepted("t", 12.3))
         self.assertFalse(self.backoffs.take("t"))
-        self.assertTrue(self.backoffs.may_take("t", 12.3))
+        self.assertTrue(self.backoffs.may_place("t", 12.3))
 
     def test_trial_that_is_turned_away_begins_anew(self):
-        self.backoffs.ask("t", 2.0, 10.0)
+        self.backoffs.extend("t", 2.0, 10.0)
         self.backoffs.take("t")
-        self.backoffs.ask("t", 2.0, 12.5)
-        self.assertFalse(self.backoffs.trial_taken("t", 12.6))
+        self.backoffs.extend("t", 2.0, 12.5)
+        self.assertFalse(self.backoffs.trial_accepted("t", 12.6))
         self.backoffs.trial_ended("t")
-        self.assertFalse(self.backoffs.may_take("t", 14.4))
-        self.assertTrue(self.backoffs.may_take("t", 14.5))
+        self.assertFalse(self.backoffs.may_place("t", 14.4))
+        self.assertTrue(self.backoffs.may_place("t", 14.5))
 
     def test_number_is_read_as_http_allows_it(self):
         def read(status, *named, **headers):
@@ -205,7 +205,7 @@
     """The choice of targets while some of them shed load."""
 
     def setUp(self):
-        self.book = LoadBook("hall", random.Random(1))
+        self.book = LoadTracker("hall", random.Random(1))
         self.candidates = [
             Candidate(name, TargetHost(Instance(name), "desk", f"{name}:1", "hall", False, 6))
             for name in ("a", "b")
@@ -216,23 +216,23 @@
         return found.target if found else None
 
     def test_target_backed_off_from_is_passed_over_though_others_are_doubtful_and_it_sends(self):
-        self.book.backoffs.ask("a", 3.0, 0.0)
+        self.book.backoffs.extend("a", 3.0, 0.0)
         self.book.suspect("b", 0.0)
         self.book.progress("a", 1.0)
         self.assertEqual(self.choose(1.0), "b")
-        self.book.backoffs.ask("b", 5.0, 0.0)
+        self.book.backoffs.extend("b", 5.0, 0.0)
         self.assertIsNone(self.choose(1.0))
         self.assertEqual(self.book.backoff_left(self.candidates, 1.0), 2.0)
 
     def test_target_that_asked_a_peer_is_used_last_but_used(self):
-        self.book.hear_backoffs(["a"], 1.0)
+        self.book.apply_peer_backoffs(["a"], 1.0)
         self.assertEqual({self.choose(1.1) for _ in range(20)}, {"b"})
-        self.book.backoffs.ask("b", 3.0, 1.0)
+        self.book.backoffs.extend("b", 3.0, 1.0)
         self.assertEqual(self.choose(1.1), "a")
 
     def test_refused_callers_come_back_after_the_first_end_and_apart(self):
         rng = random.Random(1)
-        waits = {comeback.come_back(True, rng, None, 3.0) for _ in range(50)}
+        waits = {retry_delay.retry_delay(True, rng, None, 3.0) for _ in range(50)}
         self.assertGreaterEqual(min(waits), 3.0)
         self.assertGreater(max(waits) - min(waits), 1.0)
         self.assertIsNone(self.book.backoff_left(self.candidates, 0.0))
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -15,11 +15,11 @@
 from oleanderhill.groups.ownership import Presence
 from oleanderhill.kernel import Kernel
 from oleanderhill.requests.identity import identity
-from oleanderhill.routing import endings
-from oleanderhill.routing.endings import EndingBook
+from oleanderhill.routing import crashes
+from oleanderhill.routing.crashes import CrashTracker
 from oleanderhill.serving.gossip import GossipTask
-from oleanderhill.serving.placing import LoadBook
-from oleanderhill.serving.reports import hub_ranking
+from oleanderhill.serving.placement import LoadTracker
+from oleanderhill.serving.reports import aggregator_ranking
 
 from .test_users_site import SiteTest
 
@@ -108,7 +108,7 @@
         await self.send_repeatedly(4)
         self.assertEqual(len(self.site.engines.crashed), ended)
 
-    async def test_who_ran_beside_the_culprit_is_served_when_it_comes_again(self):
+    async def test_request_in_flight_beside_the_culprit_is_served_on_retry(self):
         # Each crash aborts the streams of other requests too, and their callers retry with the
         # same path, client account and body. These requests were in flight at several crashes
         # without causing one, and must not be quarantined.
@@ -158,7 +158,7 @@
     """Decisions of a crash tracker by observed and reported crashes; times in seconds."""
 
     def setUp(self):
-        self.tracker = EndingBook()
+        self.tracker = CrashTracker()
         self.tracker.targets = 14
 
     def end(self, life, now, *in_flight, seconds=0.1, tracker=None):
@@ -166,7 +166,7 @@
         tracker = tracker or self.tracker
         for name in in_flight:
             tracker.lost(name, life, seconds, now)
-        return tracker.over(life, now + 0.05)
+        return tracker.confirm_ended(life, now + 0.05)
 
     def test_three_endings_with_nobody_else_to_explain_them_quarantine(self):
         self.assertEqual(self.end("a", 1.0, "culprit", "x", "y"), [])
@@ -175,7 +175,7 @@
         self.assertEqual(set(self.tracker.quarantined("culprit")), {"a", "b", "c"})
         self.assertTrue(all(self.tracker.quarantined(n) is None for n in "xyz"))
 
-    def test_who_moves_with_the_culprit_is_not_quarantined_and_does_not_save_it_for_long(self):
+    def test_companion_of_the_culprit_is_not_quarantined_and_only_delays_its_quarantine(self):
         for life, now in (("a", 1.0), ("b", 1.2), ("c", 1.4)):
             self.assertEqual(self.end(life, now, "culprit", "companion"), [])
         self.assertEqual(self.end("d", 3.0, "culprit"), [])
@@ -187,7 +187,7 @@
         self.end("b", 1.2, "r")
         self.tracker.answered("r", 1.3)
         self.assertEqual(self.end("c", 1.4, "r"), [])
-        self.assertEqual(self.tracker.suspicion("r"), 1)
+        self.assertEqual(self.tracker.loss_count("r"), 1)
 
     def test_answer_of_a_companion_leaves_the_culprit_alone_with_its_endings(self):
         for life, now in (("a", 1.0), ("b", 1.2), ("c", 1.4)):
@@ -197,28 +197,28 @@
     def test_lost_connection_to_a_life_that_goes_on_is_no_ending(self):
         for life in "abcde":
             self.tracker.lost("r", life, 0.1, 1.0)
-            self.assertTrue(self.tracker.lives(life, 1.1, asked=True))
-            self.assertEqual(self.tracker.over(life, 1.2), [])
-        self.assertEqual(self.tracker.suspicion("r"), 0)
+            self.assertTrue(self.tracker.record_sign_of_life(life, 1.1, asked=True))
+            self.assertEqual(self.tracker.confirm_ended(life, 1.2), [])
+        self.assertEqual(self.tracker.loss_count("r"), 0)
 
     def test_end_that_is_known_only_seconds_later_still_counts(self):
         for life, now in (("a", 1.0), ("b", 1.2), ("c", 1.4)):
             self.tracker.lost("r", life, 0.1, now)
-        self.assertEqual([self.tracker.over(n, 5.5) for n in "abc"], [[], [], ["r"]])
+        self.assertEqual([self.tracker.confirm_ended(n, 5.5) for n in "abc"], [[], [], ["r"]])
 
     def test_end_of_a_life_that_nothing_was_lost_at_lately_says_nothing(self):
         self.tracker.lost("r", "a", 0.1, 1.0)
-        self.tracker.over("a", 1.0 + endings.LIFE_PROVED_WITHIN + 1)
-        self.assertEqual(self.tracker.over("never seen", 2.0), [])
+        self.tracker.confirm_ended("a", 1.0 + crashes.CRASH_CONFIRMED_WITHIN + 1)
+        self.assertEqual(self.tracker.confirm_ended("never seen", 2.0), [])
         self.assertEqual(self.tracker.hold("r", 3.0), 0.0)
 
     def test_same_request_twice_at_one_target_is_one_piece_of_evidence(self):
         for life in "ab":
             self.end(life, 1.0, "r", "r")
         self.assertIsNone(self.tracker.quarantined("r"))
-        self.assertEqual(self.tracker.suspicion("r"), 2)
+        self.assertEqual(self.tracker.loss_count("r"), 2)
 
-    def test_endings_in_rows_by_themselves_quarantine_nobody_who_moved_along(self):
+    def test_independent_crashes_in_series_quarantine_no_innocent_request(self):
         # Thirteen of fourteen targets crash within two seconds, three of them with the same request
         # in flight, which ran for half a second each time.
         for number in range(10):
@@ -229,8 +229,8 @@
     def test_three_endings_without_a_quarantine_let_it_go_on_one_try_at_a_time(self):
         for life, now in (("a", 1.0), ("b", 1.2), ("c", 1.4)):
             self.end(life, now, "culprit", "companion")
-        self.assertAlmostEqual(self.tracker.hold("culprit", 1.6), endings.HOLD - 0.2)
-        self.assertEqual(self.tracker.hold("culprit", 1.4 + endings.HOLD), 0.0)
+        self.assertAlmostEqual(self.tracker.hold("culprit", 1.6), crashes.HOLD_SECONDS - 0.2)
+        self.assertEqual(self.tracker.hold("culprit", 1.4 + crashes.HOLD_SECONDS), 0.0)
         self.assertEqual(self.tracker.hold("other", 1.6), 0.0)
 
     def test_endings_known_before_a_restart_count_on(self):
@@ -238,11 +238,11 @@
         # at zero, the request would crash three more targets after each restart.
         for life, now in (("a", 1.0), ("b", 1.2), ("c", 1.4)):
             self.end(life, now, "culprit", "companion")
-        self.assertEqual(self.tracker.take_suspected(), ["companion", "culprit"])
-        self.assertEqual(self.tracker.take_suspected(), [])
-        after = EndingBook()
+        self.assertEqual(self.tracker.pop_new_suspects(), ["companion", "culprit"])
+        self.assertEqual(self.tracker.pop_new_suspects(), [])
+        after = CrashTracker()
         after.targets = 14
-        self.assertEqual(after.recall(self.tracker.endings_of("companion"), 10.0), [])
+        self.assertEqual(after.restore_crashes(self.tracker.crashes_of("companion"), 10.0), [])
         self.assertGreater(after.hold("culprit", 10.1), 0)
         self.assertEqual(self.end("d", 12.0, "culprit", tracker=after), [])
         self.assertEqual(self.end("e", 14.0, "culprit", tracker=after), ["culprit"])
@@ -250,41 +250,43 @@
     def test_what_several_entry_hosts_saw_adds_up_and_reaches_all(self):
         # Each of three hosts observed one crash. Without adding up their counts, a quarantine would
         # take three times as many crashes.
-        trackers = [EndingBook() for _ in range(4)]
+        trackers = [CrashTracker() for _ in range(4)]
         for tracker, life in zip(trackers, "abc", strict=False):
             tracker.targets = 14
             self.end(life, 1.0, "culprit", tracker=tracker)
         last = trackers[-1]
         last.targets = 14
         quarantined = [
-            last.hear(p, 1.3) for tracker in trackers[:3] for p in tracker.news("peer", 1.2, False)
+            last.apply_peer_update(p, 1.3)
+            for tracker in trackers[:3]
+            for p in tracker.pending_updates("peer", 1.2, False)
         ]
         self.assertEqual(quarantined, [[], [], ["culprit"]])
 
     def test_ending_whose_victims_were_all_answered_is_told_and_counts_for_the_rate(self):
         self.end("a", 1.0, "r")
         self.tracker.answered("r", 1.1)
-        other = EndingBook()
-        for part in self.tracker.news("peer", 1.2, True):
-            other.hear(part, 1.2)
-        self.assertEqual((other.sizes[0], other.suspicion("r")), (1, 0))
+        other = CrashTracker()
+        for part in self.tracker.pending_updates("peer", 1.2, True):
+            other.apply_peer_update(part, 1.2)
+        self.assertEqual((other.sizes[0], other.loss_count("r")), (1, 0))
 
     def test_news_heard_twice_or_late_changes_nothing(self):
         self.end("a", 1.0, "r")
-        parts = self.tracker.news("peer", 1.1, False)
-        other = EndingBook()
+        parts = self.tracker.pending_updates("peer", 1.1, False)
+        other = CrashTracker()
         for now in (1.2, 1.3, 5.0):
             for part in parts:
-                other.hear(part, now)
-        self.assertEqual((other.suspicion("r"), other.sizes[0]), (1, 1))
+                other.apply_peer_update(part, now)
+        self.assertEqual((other.loss_count("r"), other.sizes[0]), (1, 1))
 
     def test_clearing_that_comes_after_the_quarantine_takes_it_back_everywhere(self):
-        other = EndingBook()
+        other = CrashTracker()
         other.quarantine("r", ("a", "b", "c"), 1.0)
         self.tracker.lost("r", "d", 0.1, 1.5)
         self.tracker.answered("r", 2.0)
-        for part in self.tracker.news("peer", 2.1, False):
-            other.hear(part, 2.1)
+        for part in self.tracker.pending_updates("peer", 2.1, False):
+            other.apply_peer_update(part, 2.1)
         self.assertIsNone(other.quarantined("r"))
 
     def test_what_is_kept_and_told_is_bounded_whatever_comes(self):
@@ -295,13 +297,13 @@
             self.tracker.answered(f"r{number}-1", number / 100)
         self.assertLessEqual(self.tracker.sizes[0], 64)
         self.assertLessEqual(self.tracker.sizes[1], 256)
-        for part in self.tracker.news("a-host-with-quite-a-long-name", 30.0, True):
+        for part in self.tracker.pending_updates("a-host-with-quite-a-long-name", 30.0, True):
             self.assertLess(len(msgspec.msgpack.encode(part)), 1400)
 
     def test_after_its_time_it_is_tried_once_and_one_ending_quarantines_it_again(self):
         for life, now in (("a", 1.0), ("b", 1.2), ("c", 1.4)):
             self.end(life, now, "r")
-        later = 2.0 + endings.REMEMBERED
+        later = 2.0 + crashes.QUARANTINE_SECONDS
         self.tracker.forget(later)
         self.assertIsNone(self.tracker.quarantined("r"))
         self.assertEqual(self.end("d", later + 1, "r", "x"), ["r"])
@@ -338,25 +340,25 @@
             for n in range(6)
         }
         self.killed = set()
-        self.trackers = {name: EndingBook() for name in self.alive}
+        self.trackers = {name: CrashTracker() for name in self.alive}
         self.gossip = {name: self.make(name) for name in self.alive}
 
     def make(self, name):
         tracker = self.trackers[name]
         quarantine = SimpleNamespace(
-            news=lambda again: tracker.news(name, time.monotonic(), again),
-            hear=lambda news: tracker.hear(news, time.monotonic()),
+            pending_updates=lambda again: tracker.pending_updates(name, time.monotonic(), again),
+            apply_peer_update=lambda news: tracker.apply_peer_update(news, time.monotonic()),
         )
-        loads = LoadBook("a", random.Random(1))
-        limits = SimpleNamespace(news=list, reach=lambda hosts, in_touch: None)
-        leaving = SimpleNamespace(news=lambda sender: [])
+        loads = LoadTracker("a", random.Random(1))
+        limits = SimpleNamespace(pending_updates=list, update_hosts=lambda hosts, has_peers: None)
+        leaving = SimpleNamespace(pending_updates=lambda sender: [])
         gossip = GossipTask(
             Kernel(), self.alive[name], loads, lambda: self.alive, quarantine, {}, limits, leaving
         )
 
         def send_to(data, names, alive):
             for other in set(names) - self.killed if name not in self.killed else ():
-                self.gossip[other]._hear(data)
+                self.gossip[other]._receive(data)
 
         gossip._send_to = send_to
         return gossip
@@ -380,7 +382,7 @@
 
     async def test_quarantine_is_known_to_all_though_a_hub_is_killed(self):
         # The aggregator of the data centre is killed, and only its silence shows it to the others.
-        self.killed = {hub_ranking("a", self.alive)[0]}
+        self.killed = {aggregator_ranking("a", self.alive)[0]}
         sender = sorted(n for n in self.alive if n.startswith("a") and n not in self.killed)[-1]
         await asyncio.sleep(0.35)
         self.trackers[sender].quarantine("culprit", ("x", "y", "z"), time.monotonic())
@@ -389,6 +391,6 @@
     async def test_host_that_restarts_hears_what_was_told_before(self):
         self.trackers["a-5"].quarantine("culprit", ("x", "y", "z"), time.monotonic() - 60)
         await self.propagation_time(5.0)
-        self.trackers["c-3"] = EndingBook()
+        self.trackers["c-3"] = CrashTracker()
         self.gossip["c-3"] = self.make("c-3")
         self.assertLess(await self.propagation_time(5.0), 3.0)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -210,7 +210,7 @@
 
     async def test_target_that_refuses_before_the_start_is_not_run(self):
         self.engine.epoch = 7
-        with mock.patch.object(dispatch, "PATIENCE", 0.3):
+        with mock.patch.object(dispatch, "GROUP_WAIT_TIMEOUT", 0.3):
             await self.assert_problem(503, "no-capacity")
 
     async def test_cut_stream_of_the_only_group_ends_with_a_typed_error_and_no_done(self):
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -10,7 +10,7 @@
 from tornado.httputil import HTTPHeaders
 
 from oleanderhill.clients.changelog import ChangeLog
-from oleanderhill.clients.currency import Currency
+from oleanderhill.clients.freshness import Freshness
 from oleanderhill.clients.httpcall import Reply
 from oleanderhill.clients.keyed import KeyedCopy
 from oleanderhill.clients.storage import (
@@ -25,7 +25,13 @@
     Write,
 )
 from oleanderhill.groups.inventory import Instance, Inventory
-from oleanderhill.groups.plans import DomainPlan, decode_plan, encode_plan, outlasts, renewed
+from oleanderhill.groups.plans import (
+    DomainPlan,
+    decode_plan,
+    encode_plan,
+    in_new_generation,
+    supersedes,
+)
 from oleanderhill.platform.configuration import ConfigurationCopy
 from oleanderhill.platform.decoding import CONFIGURATION_KEY
 from oleanderhill.platform.host_list import HostList
@@ -37,8 +43,8 @@
 
 class ConfigurationTest(unittest.TestCase):
     def setUp(self):
-        self.currency = Currency(5.0)
-        self.copy = ConfigurationCopy(self.currency, Records("e1"))
+        self.freshness = Freshness(5.0)
+        self.copy = ConfigurationCopy(self.freshness, Records("e1"))
 
     def read(self, version, generation, number):
         value = configuration(version, KEYS)
@@ -69,26 +75,26 @@
     def test_older_one_of_a_backup_proves_nothing_until_it_is_written_again(self):
         self.read(7, 1, 50)
         self.assertFalse(self.read(6, 2, 40))
-        self.currency.prove(10.0)
-        self.assertFalse(self.currency.holds(10.0))
-        self.assertEqual([c.revision for c in self.copy.kept()], [Revision(1, 50)])
+        self.freshness.record_verified(10.0)
+        self.assertFalse(self.freshness.is_fresh(10.0))
+        self.assertEqual([c.revision for c in self.copy.retained()], [Revision(1, 50)])
         self.assertTrue(self.read(7, 2, 45))
-        self.currency.prove(10.0)
-        self.assertTrue(self.currency.holds(10.0))
-        self.assertEqual(list(self.copy.kept()), [])
+        self.freshness.record_verified(10.0)
+        self.assertTrue(self.freshness.is_fresh(10.0))
+        self.assertEqual(list(self.copy.retained()), [])
         self.assertEqual(self.copy.revisions(), {CONFIGURATION_KEY: Revision(2, 45)})
 
     def test_proof_of_before_the_store_settled_is_not_taken(self):
-        self.currency.distrust(20.0)
-        self.currency.prove(19.9)
-        self.assertFalse(self.currency.holds(19.9))
-        self.currency.prove(20.0)
-        self.assertTrue(self.currency.holds(20.0))
+        self.freshness.ignore_checks_before(20.0)
+        self.freshness.record_verified(19.9)
+        self.assertFalse(self.freshness.is_fresh(19.9))
+        self.freshness.record_verified(20.0)
+        self.assertTrue(self.freshness.is_fresh(20.0))
 
 
 class KeyedCopyTest(unittest.TestCase):
     def setUp(self):
-        self.plans = KeyedCopy(decode_plan, Records("e1"), outlasts, 60.0)
+        self.plans = KeyedCopy(decode_plan, Records("e1"), supersedes, 60.0)
 
     def items(self, *plans):
         return [Item(f"plan/{p.domain}", encode_plan(p), r) for p, r in plans]
@@ -100,7 +106,7 @@
         self.plans.restored(10.0)
         self.plans.replace(self.items((old, Revision(2, 80))), 10.0)
         self.assertEqual(self.plans.get("plan/d"), (new, Revision(2, 80)))
-        again = renewed(new, 2)._replace(version=5)
+        again = in_new_generation(new, 2)._replace(version=5)
         self.plans.put("plan/d", encode_plan(again), Revision(2, 81))
         self.assertEqual(self.plans.get("plan/d"), (again, Revision(2, 81)))
 
@@ -132,10 +138,10 @@
 
     def test_renewed_plan_repeats_neither_terms_nor_epochs(self):
         plan = DomainPlan("d", "a", "l", 3, 12, generation=1, version=9)
-        again = renewed(plan, 2)
+        again = in_new_generation(plan, 2)
         self.assertGreater(again.term, plan.term + 50)
         self.assertGreater(again.last_epoch, plan.last_epoch + 500)
-        self.assertEqual(renewed(DomainPlan("d"), 2), DomainPlan("d", generation=2))
+        self.assertEqual(in_new_generation(DomainPlan("d"), 2), DomainPlan("d", generation=2))
 
 
 class ChangeLogTest(unittest.TestCase):
@@ -190,7 +196,7 @@
 
     def restore(self, *what, **how):
         self.hosts.restored(10.0)
-        self.inventory.doubt(12.2)
+        self.inventory.extend_grace(12.2)
         self.hosts.replace([self.item(*what, **how)], 10.0)
         self.hosts.settle(10.0)
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -10,7 +10,7 @@
 from oleanderhill_dev.windows import most_within
 
 from oleanderhill.groups import forming
-from oleanderhill.groups.actions import Join, Leave, Open, OrderEnd, Replan, Stage, Warm
+from oleanderhill.groups.actions import Join, Leave, Open, OrderOutcome, Replan, Stage, Warm
 from oleanderhill.groups.composing import (
     Composition,
     FreeHost,
@@ -32,7 +32,7 @@
 from oleanderhill.groups.pacing import LoadPacer
 from oleanderhill.groups.plans import DomainPlan, decode_plan, encode_plan
 from oleanderhill.groups.probing import ProbeRounds, count_unanswered
-from oleanderhill.groups.router import serving_groups
+from oleanderhill.groups.serving_groups import serving_groups
 from oleanderhill.groups.spares import LOAD_RETRY_SECONDS
 
 LARGE = ModelNeed("large", 3, 1.0, 16.0)
@@ -76,10 +76,10 @@
 
     def carry_out(self, order):
         if order.instance in self.silent or order.instance not in self.hosts:
-            self.keeper.ended(order, OrderEnd.SILENT, self.now)
+            self.keeper.ended(order, OrderOutcome.SILENT, self.now)
             return
         self.hosts[order.instance] = self.obeyed(order, self.hosts[order.instance])
-        self.keeper.ended(order, OrderEnd.DONE, self.now)
+        self.keeper.ended(order, OrderOutcome.DONE, self.now)
 
     def obeyed(self, order, host_):
         match order:
@@ -167,13 +167,13 @@
         world = World(host("a", ("large",)), host("b", ("large",)), host("c"), host("d"))
         world.keeper = DomainKeeper(LoadPacer(1000.0, 5.0, 1, 1))
         (refused,) = without_warm_ups(world.step(obey=False))
-        world.keeper.ended(refused, OrderEnd.UNFIT, world.now)
+        world.keeper.ended(refused, OrderOutcome.UNFIT, world.now)
         ordered = without_warm_ups(world.step(obey=False))
         self.assertEqual([(type(o), o.model) for o in ordered], [(Stage, "large")])
         (second,) = ordered
         self.assertNotEqual(second.instance, refused.instance)
         self.assertEqual(without_warm_ups(world.step(obey=False)), [])
-        world.keeper.ended(second, OrderEnd.SILENT, world.now)
+        world.keeper.ended(second, OrderOutcome.SILENT, world.now)
         (third,) = without_warm_ups(world.step(LOAD_RETRY_SECONDS, obey=False))
         self.assertEqual(third.instance, refused.instance)
 
@@ -585,7 +585,7 @@
         inventory = Inventory()
         inventory.put(host("a"))
         inventory.put(host("b"))
-        inventory.doubt(102.2)
+        inventory.extend_grace(102.2)
         self.assertFalse(inventory.remove("a", 100.1).gone)
         self.assertFalse(inventory.remove("b", 100.1).gone)
         inventory.put(host("b"))
--- a/tests/test_lives.py
+++ b/tests/test_incarnations.py
@@ -9,7 +9,7 @@
 
 from oleanderhill.clients.httpcall import HttpCaller
 from oleanderhill.clients.keyed import KeyedCopy
-from oleanderhill.groups.actions import OrderEnd
+from oleanderhill.groups.actions import OrderOutcome
 from oleanderhill.groups.engine_hosts import EngineHosts
 from oleanderhill.groups.inventory import Instance, Inventory, Membership, MemberState
 from oleanderhill.groups.plans import DomainPlan
@@ -76,7 +76,7 @@
         # if it were retained, its group would count as complete.
         inventory = Inventory()
         inventory.put(host("a", born=5))
-        inventory.doubt(100.0)
+        inventory.extend_grace(100.0)
         inventory.remove("a", 50.0)
         inventory.put(host("a", born=9))
         self.assertEqual(list(inventory.by_instance), [Instance("a", 9)])
@@ -158,7 +158,7 @@
         world.keeper = keeper_
         world.step()
         join, *_ = world.step(obey=False)
-        keeper_.ended(join, OrderEnd.GONE, world.now)
+        keeper_.ended(join, OrderOutcome.GONE, world.now)
         self.assertIn(join.instance, keeper_._avoid_until)
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,11 +9,11 @@
 from oleanderhill_dev.users.site import until
 from tornado.httputil import HTTPHeaders
 
-from oleanderhill.groups.inventory import NAMES_KEPT, Instance, Inventory, TargetHost
+from oleanderhill.groups.inventory import MAX_REMEMBERED_NAMES, Instance, Inventory, TargetHost
 from oleanderhill.platform.headers import HeaderCodec
 from oleanderhill.records import Records
 from oleanderhill.serving import leaving
-from oleanderhill.serving.leaving import LeavingNews, LeavingTargets
+from oleanderhill.serving.leaving import LeavingTargets, LeavingUpdate
 
 from .test_users_site import SiteTest
 
@@ -65,7 +65,7 @@
         await asyncio.sleep(PROPAGATION_SECONDS)
         self.assertEqual(len(other.candidates("desk", "")), 1)
 
-    async def test_member_that_says_so_to_a_probe_ends_the_groups_time(self):
+    async def test_member_that_announces_leaving_to_a_probe_stops_its_group(self):
         heads, model = await self.two_groups()
         member = self.site.engines.host_by_instance[heads[0].members[1]]
         member.demand.leaving = True
@@ -81,7 +81,7 @@
             found = choose(*args, **kwargs)
             if not first and found is not None:
                 first.append(found.host.instance.name)
-                self.entry._inventory.leave(found.lives[0])
+                self.entry._inventory.leave(found.incarnations[0])
             return found
 
         self.entry._book.choose = choose_then_leave
@@ -95,7 +95,7 @@
     return TargetHost(Instance(name, born), "desk", f"{name}:1", "hall", leaves, 6)
 
 
-class WordTest(unittest.TestCase):
+class LeavingAnnouncementTest(unittest.TestCase):
     """Tracking of announcements by targets that they leave."""
 
     def setUp(self):
@@ -128,18 +128,18 @@
                     self.assertEqual(host.leaving, instance in announced, seed)
 
     def test_word_of_a_life_that_is_not_listed_is_not_kept(self):
-        self.leaving.said("c@1", "request")
-        self.leaving.hear(LeavingNews("peer", ["a@9", "c@1"]))
+        self.leaving.announced("c@1", "request")
+        self.leaving.apply_peer_update(LeavingUpdate("peer", ["a@9", "c@1"]))
         self.assertEqual((len(self.leaving), self.changes), (0, []))
 
     def test_word_is_told_with_each_report_and_then_now_and_then(self):
         with mock.patch.object(leaving.time, "monotonic") as clock:
             clock.return_value = 100.0
-            self.leaving.said("a@1", "request")
+            self.leaving.announced("a@1", "request")
             updated = []
             for tick in range(100):
                 clock.return_value = 100.0 + tick * 0.05
-                updated.append(bool(self.leaving.news("e1")))
+                updated.append(bool(self.leaving.pending_updates("e1")))
         self.assertTrue(all(updated[:10]))
         self.assertEqual(sum(updated[20:]), 2)
 
@@ -147,17 +147,17 @@
         for number in range(100):
             name = f"i-{number:030}"
             self.inventory.put(make_host(name, 1_788_000_000_000))
-            self.leaving.said(f"{name}@1788000000000", "request")
-        parts = self.leaving.news("front-of-a-long-name")
+            self.leaving.announced(f"{name}@1788000000000", "request")
+        parts = self.leaving.pending_updates("front-of-a-long-name")
         self.assertEqual(sum(len(p.lives) for p in parts), 100)
         self.assertLess(max(len(msgspec.msgpack.encode(p)) for p in parts), DATAGRAM)
 
     def test_what_is_kept_is_bounded(self):
-        for number in range(NAMES_KEPT + 10):
+        for number in range(MAX_REMEMBERED_NAMES + 10):
             self.inventory.put(make_host(f"h{number}"))
             self.inventory.leave(f"h{number}@1")
             self.inventory.discard(f"h{number}")
-        self.assertEqual(len(self.inventory._leaving), NAMES_KEPT)
+        self.assertEqual(len(self.inventory._leaving), MAX_REMEMBERED_NAMES)
 
     def test_header_is_read_from_answers_of_all_kinds(self):
         def read(status, **headers):
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -12,7 +12,7 @@
 from oleanderhill.exceptions import StoreUnavailableError
 from oleanderhill.groups import presence
 from oleanderhill.groups.ownership import Presence, decode_presence
-from oleanderhill.groups.presence import LEASE_SECONDS, PresenceTask, retry_after
+from oleanderhill.groups.presence import LEASE_SECONDS, PresenceTask, renew_retry_delay
 from oleanderhill.kernel import Kernel
 from oleanderhill.records import Records
 
@@ -44,13 +44,13 @@
 
 class RetryTest(unittest.TestCase):
     def test_one_lost_answer_leaves_time_for_others_within_the_lease(self):
-        waits = [retry_after(n) for n in range(1, 4)]
+        waits = [renew_retry_delay(n) for n in range(1, 4)]
         self.assertLess(presence.RENEW_INTERVAL + sum(waits), LEASE_SECONDS)
 
     def test_pause_grows_and_stays_bounded(self):
-        waits = [retry_after(n) for n in range(1, 2000)]
+        waits = [renew_retry_delay(n) for n in range(1, 2000)]
         self.assertEqual(waits, sorted(waits))
-        self.assertEqual(waits[-1], presence.LONGEST_RETRY)
+        self.assertEqual(waits[-1], presence.MAX_RETRY_SECONDS)
 
 
 class RefusedTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -18,22 +18,22 @@
 from oleanderhill.platform.headers import HeaderCodec
 from oleanderhill.records import Records
 from oleanderhill.routing.target_limits import (
-    AGAIN_EVERY,
-    LEAST_RATE,
-    STATEMENTS_KEPT,
-    TAKE_OVER_WAIT,
+    FULL_UPDATE_INTERVAL,
+    MAX_STATEMENTS,
+    MIN_RATE,
+    NEW_SHARER_DELAY,
     UNREADABLE_RATE,
-    Asked,
-    LimitNews,
+    CallKind,
+    LimitUpdate,
     Statement,
     TargetLimits,
 )
 from oleanderhill.serving import gossip, target_limits
-from oleanderhill.serving.forwarding import NamedLimit
+from oleanderhill.serving.forwarding import StatedLimit
 from oleanderhill.serving.gossip import GossipTask
-from oleanderhill.serving.placing import Candidate, LoadBook
-from oleanderhill.serving.reports import hub_ranking
-from oleanderhill.serving.target_limits import Source, TargetLimitTask
+from oleanderhill.serving.placement import Candidate, LoadTracker
+from oleanderhill.serving.reports import aggregator_ranking
+from oleanderhill.serving.target_limits import StatementSource, TargetLimitTask
 
 from .test_users_site import SiteTest
 
@@ -107,7 +107,7 @@
         demand.limit = ""
         await self.press(12, 3.0, "/scan/x")
         for entry in self.site.entries:
-            self.assertEqual(entry._book.limits.rate_by_life, {})
+            self.assertEqual(entry._book.limits.rate_by_incarnation, {})
         before = len(demand.arrivals)
         await self.press(12, 2.0, "/scan/x")
         self.assertGreater(len(demand.arrivals) - before, 6)
@@ -121,14 +121,14 @@
         now = time.monotonic()
         candidates = self.entry.candidates("desk", "")
         self.assertFalse(any(self.entry._book.is_suspect(c.target, now) for c in candidates))
-        self.assertEqual(len(self.entry._book.limits.rate_by_life), 1)
+        self.assertEqual(len(self.entry._book.limits.rate_by_incarnation), 1)
 
     async def test_host_that_starts_anew_learns_of_limits_from_the_others(self):
         demand = self.site.targets[0].demand
         demand.limit = "1"
         await self.first_told(demand, "/scan/x")
         late = await self.site.add_entry("entry-late")
-        await until(lambda: late._book.limits.rate_by_life, 5.0)
+        await until(lambda: late._book.limits.rate_by_incarnation, 5.0)
         before = len(demand.arrivals)
         await self.press(12, 3.0, "/scan/x", entries=[late])
         self.assertLessEqual(len(demand.arrivals) - before, max_requests(1.0))
@@ -137,9 +137,9 @@
         demand, model = await self.limited_head("1")
         await self.first_told(demand, "/read/x", "POST", model)
         limits = self.entry._book.limits
-        (incarnation,) = limits.rate_by_life
+        (incarnation,) = limits.rate_by_incarnation
         self.site.engines.host_by_instance[incarnation.partition("@")[0]].restart()
-        await until(lambda: not limits.rate_by_life, 5.0)
+        await until(lambda: not limits.rate_by_incarnation, 5.0)
 
     async def test_limit_of_a_member_named_in_its_answers_to_probes_binds_the_group(self):
         # Every request of the group passes through the member, though it receives none itself.
@@ -147,13 +147,13 @@
         group = self.entry.candidates("pool", model)[0]
         member = self.site.engines.host_by_instance[group.members[0].partition("@")[0]]
         member.demand.limit = "1"
-        instance = self.entry._inventory.life_of(member.instance)
+        instance = self.entry._inventory.incarnation_of(member.instance)
         for entry in self.site.entries:
             await entry._orders.answers(instance, member.address)
         limits = self.entry._book.limits
-        self.assertTrue(limits.is_limited(group.lives))
+        self.assertTrue(limits.is_limited(group.incarnations))
         member.demand.limit = ""
-        await until(lambda: not limits.is_limited(group.lives), 6.0)
+        await until(lambda: not limits.is_limited(group.incarnations), 6.0)
 
 
 class NamedLimitTest(unittest.TestCase):
@@ -199,16 +199,16 @@
     def setUp(self):
         self.hosts = tuple(f"entry-{n}" for n in range(8))
         self.limits = TargetLimits("entry-0")
-        self.limits.reach(self.hosts, True, 0.0)
+        self.limits.update_hosts(self.hosts, True, 0.0)
 
-    def state_limit(self, rate, asked_at, now, limits=None, asked=Asked.REQUEST):
+    def state_limit(self, rate, asked_at, now, limits=None, asked=CallKind.REQUEST):
         return (limits or self.limits).answered("t", rate, asked, asked_at, now)
 
     def sharer(self, rate):
         """Return the limits of a host that shares a limit, which was stated to it at 1 s."""
         self.state_limit(rate, 0.0, 1.0)
         limits = TargetLimits(self.limits.sharers("t")[0])
-        limits.reach(self.hosts, True, 0.0)
+        limits.update_hosts(self.hosts, True, 0.0)
         self.state_limit(rate, 0.0, 1.0, limits)
         return limits
 
@@ -222,21 +222,21 @@
             all_limits = [TargetLimits(name) for name in self.hosts]
             sent = []
             for limits in all_limits:
-                limits.reach(self.hosts, True, 0.0)
+                limits.update_hosts(self.hosts, True, 0.0)
                 self.state_limit(rate, 0.0, 1.0, limits)
             for tick in range(100, 3_000):
                 for limits in all_limits:
                     if limits.take(("t",), tick / 100) is not None:
                         sent.append(tick / 100)
             self.assertLessEqual(most_within(WINDOW, sent, 0.0), max_requests(rate))
-            self.assertGreaterEqual(len(sent), 29 * max(rate, LEAST_RATE) * 0.8)
+            self.assertGreaterEqual(len(sent), 29 * max(rate, MIN_RATE) * 0.8)
 
     def test_all_idle_shares_at_once_stay_within_the_bound(self):
         for rate in (0.0, 0.3, 1.0, 1.2, 3.0, 10.0, 1e9):
             all_limits = [TargetLimits(f"entry-{n}") for n in range(195)]
             hosts = tuple(a._me for a in all_limits)
             for limits in all_limits:
-                limits.reach(hosts, True, 0.0)
+                limits.update_hosts(hosts, True, 0.0)
                 self.state_limit(rate, 0.0, 1.0, limits)
             total = sum(a.take(("t",), 1_000.0) is not None for a in all_limits)
             self.assertLessEqual(total, 2 * rate + 3)
@@ -245,12 +245,12 @@
         self.state_limit(1.0, 0.0, 2.0)
         self.assertIsNone(self.state_limit(None, 1.9, 3.0))
         self.assertIsNone(self.state_limit(5.0, 1.9, 3.0))
-        self.assertEqual(self.limits.rate_by_life, {"t": 1.0})
+        self.assertEqual(self.limits.rate_by_incarnation, {"t": 1.0})
 
     def test_older_answer_lowers_a_limit_as_it_may_be_newer(self):
         self.state_limit(1.0, 0.0, 2.0)
         self.state_limit(0.5, 1.9, 3.0)
-        self.assertEqual(self.limits.rate_by_life, {"t": 0.5})
+        self.assertEqual(self.limits.rate_by_incarnation, {"t": 0.5})
 
     def test_answer_to_a_request_sent_after_the_last_naming_ends_it(self):
         self.state_limit(1.0, 0.0, 2.0)
@@ -261,31 +261,31 @@
 
     def test_answers_to_probes_end_only_what_they_named(self):
         self.state_limit(1.0, 0.0, 1.0)
-        self.assertIsNone(self.state_limit(None, 2.0, 3.0, asked=Asked.CONTROL))
+        self.assertIsNone(self.state_limit(None, 2.0, 3.0, asked=CallKind.CONTROL))
         self.state_limit(None, 2.0, 3.0)
-        self.state_limit(1.0, 4.0, 5.0, asked=Asked.CONTROL)
-        self.assertIsNotNone(self.state_limit(None, 6.0, 7.0, asked=Asked.CONTROL))
+        self.state_limit(1.0, 4.0, 5.0, asked=CallKind.CONTROL)
+        self.assertIsNotNone(self.state_limit(None, 6.0, 7.0, asked=CallKind.CONTROL))
 
     def test_host_that_hears_nobody_takes_no_share(self):
         limits = self.sharer(3.0)
-        limits.reach(self.hosts, False, 2.0)
+        limits.update_hosts(self.hosts, False, 2.0)
         self.assertFalse(limits.may_send(("t",), 100.0))
-        limits.reach(self.hosts, True, 2.0)
+        limits.update_hosts(self.hosts, True, 2.0)
         self.assertTrue(limits.may_send(("t",), 100.0))
 
     def test_host_that_is_in_nobodys_view_takes_no_share(self):
         limits = TargetLimits("unknown")
-        limits.reach(self.hosts, True, 0.0)
+        limits.update_hosts(self.hosts, True, 0.0)
         self.state_limit(100.0, 0.0, 1.0, limits)
         self.assertFalse(limits.may_send(("t",), 100.0))
 
     def test_who_takes_anothers_share_waits_until_what_that_one_sent_is_past(self):
         limits = self.sharer(1.0)
         others = tuple(h for h in self.hosts if h != limits._me)
-        limits.reach(others, True, 50.0)
-        limits.reach(self.hosts, True, 60.0)
-        self.assertFalse(limits.may_send(("t",), 60.0 + TAKE_OVER_WAIT - 0.1))
-        self.assertTrue(limits.may_send(("t",), 60.0 + TAKE_OVER_WAIT + 0.1))
+        limits.update_hosts(others, True, 50.0)
+        limits.update_hosts(self.hosts, True, 60.0)
+        self.assertFalse(limits.may_send(("t",), 60.0 + NEW_SHARER_DELAY - 0.1))
+        self.assertTrue(limits.may_send(("t",), 60.0 + NEW_SHARER_DELAY + 0.1))
 
     def test_unsent_permit_is_given_back(self):
         limits = self.sharer(1.0)
@@ -324,13 +324,13 @@
 
     def test_orders_count_as_requests(self):
         limits = self.sharer(1.0)
-        limits.spend("t", 100.0)
+        limits.count_without_permit("t", 100.0)
         self.assertFalse(limits.may_send(("t",), 100.1))
 
     def test_newest_statement_wins_and_of_two_with_one_version_the_tighter(self):
         def apply(version, rate):
-            news = LimitNews("peer", {"t": Statement(version, rate)})
-            return bool(self.limits.hear(news, lambda incarnation: True, 5.0))
+            news = LimitUpdate("peer", {"t": Statement(version, rate)})
+            return bool(self.limits.apply_peer_update(news, lambda incarnation: True, 5.0))
 
         self.assertTrue(apply(3, 2.0))
         self.assertFalse(apply(2, 0.1))
@@ -338,39 +338,41 @@
         self.assertFalse(apply(3, None))
         self.assertTrue(apply(3, 1.0))
         self.assertTrue(apply(4, None))
-        self.assertEqual(self.limits.rate_by_life, {})
+        self.assertEqual(self.limits.rate_by_incarnation, {})
 
     def test_news_of_a_life_that_is_over_are_not_taken(self):
-        news = LimitNews("peer", {"t": Statement(3, 2.0)})
-        self.assertEqual(self.limits.hear(news, lambda incarnation: False, 5.0), [])
+        news = LimitUpdate("peer", {"t": Statement(3, 2.0)})
+        self.assertEqual(self.limits.apply_peer_update(news, lambda incarnation: False, 5.0), [])
 
     def test_what_no_entry_host_says_is_not_believed(self):
         for rate, version in ((float("nan"), 1), (float("inf"), 1), (-1.0, 1), (1.0, 2**63)):
             with self.subTest(rate=rate, version=version):
-                news = LimitNews("anybody", {"t": Statement(version, rate)})
-                self.assertEqual(self.limits.hear(news, lambda incarnation: True, 5.0), [])
+                news = LimitUpdate("anybody", {"t": Statement(version, rate)})
+                self.assertEqual(
+                    self.limits.apply_peer_update(news, lambda incarnation: True, 5.0), []
+                )
 
     def test_news_is_told_with_each_report_and_then_now_and_then(self):
         self.state_limit(1.0, 0.0, 1.0)
-        sent = [bool(self.limits.news(1.0 + n * 0.05)) for n in range(60)]
+        sent = [bool(self.limits.pending_updates(1.0 + n * 0.05)) for n in range(60)]
         self.assertTrue(all(sent[:10]))
-        self.assertEqual(sum(sent[20:]), round(40 * 0.05 / AGAIN_EVERY))
+        self.assertEqual(sum(sent[20:]), round(40 * 0.05 / FULL_UPDATE_INTERVAL))
 
     def test_news_fits_into_one_frame(self):
         for number in range(100):
             incarnation = f"i-{number:030}@1788000000000"
-            self.limits.answered(incarnation, 1.23456789, Asked.CONTROL, 0.0, 1.0)
-        sizes = [len(msgspec.msgpack.encode(part)) for part in self.limits.news(2.0)]
+            self.limits.answered(incarnation, 1.23456789, CallKind.CONTROL, 0.0, 1.0)
+        sizes = [len(msgspec.msgpack.encode(part)) for part in self.limits.pending_updates(2.0)]
         self.assertLess(max(sizes), DATAGRAM)
 
     def test_what_is_kept_is_bounded_and_what_ended_goes_first(self):
-        for number in range(STATEMENTS_KEPT):
-            self.limits.answered(str(number), 1.0, Asked.REQUEST, 0.0, 1.0)
-        self.limits.answered("700", None, Asked.REQUEST, 2.0, 3.0)
-        self.limits.answered("new", 1.0, Asked.REQUEST, 0.0, 4.0)
-        self.assertIn("0", self.limits.rate_by_life)
-        self.limits.answered("newer", 1.0, Asked.REQUEST, 0.0, 4.0)
-        self.assertEqual(len(self.limits.rate_by_life), STATEMENTS_KEPT)
+        for number in range(MAX_STATEMENTS):
+            self.limits.answered(str(number), 1.0, CallKind.REQUEST, 0.0, 1.0)
+        self.limits.answered("700", None, CallKind.REQUEST, 2.0, 3.0)
+        self.limits.answered("new", 1.0, CallKind.REQUEST, 0.0, 4.0)
+        self.assertIn("0", self.limits.rate_by_incarnation)
+        self.limits.answered("newer", 1.0, CallKind.REQUEST, 0.0, 4.0)
+        self.assertEqual(len(self.limits.rate_by_incarnation), MAX_STATEMENTS)
 
     def test_limit_goes_with_its_life(self):
         self.state_limit(1.0, 0.0, 1.0)
@@ -388,7 +390,7 @@
 
     def setUp(self):
         self.limits = TargetLimits("me")
-        self.book = LoadBook("hall", random.Random(1), self.limits)
+        self.book = LoadTracker("hall", random.Random(1), self.limits)
         self.candidates = [
             Candidate(name, TargetHost(Instance(name), "desk", f"{name}:1", "hall", False, 6))
             for name in ("a", "b")
@@ -398,7 +400,7 @@
         return self.book.choose(self.candidates, set(), now, 1.2, lambda address: False)
 
     def limit(self, incarnation, rate, now=0.0):
-        self.limits.answered(incarnation, rate, Asked.REQUEST, now, now)
+        self.limits.answered(incarnation, rate, CallKind.REQUEST, now, now)
 
     def test_limited_target_is_chosen_when_its_turn_comes_and_only_then(self):
         self.limit("a", 1.0)
@@ -421,7 +423,7 @@
 
     def test_places_that_a_limit_leaves_empty_count_as_taken(self):
         self.limit("a", 2.0)
-        self.assertEqual([self.book.taken_by_limits(c) for c in self.candidates], [4.0, 0.0])
+        self.assertEqual([self.book.slots_lost_to_limits(c) for c in self.candidates], [4.0, 0.0])
 
 
 class LimitSpreadTest(unittest.IsolatedAsyncioTestCase):
@@ -455,10 +457,10 @@
         task = TargetLimitTask(
             kernel, limits, self.inventory, list, None, lambda host: True, records
         )
-        quarantine = SimpleNamespace(news=lambda again: [])
-        loads = LoadBook("a", random.Random(1))
+        quarantine = SimpleNamespace(pending_updates=lambda again: [])
+        loads = LoadTracker("a", random.Random(1))
         loads.begin("another")  # a host with a request in flight reports at each tick
-        leaving = SimpleNamespace(news=lambda sender: [])
+        leaving = SimpleNamespace(pending_updates=lambda sender: [])
         made = GossipTask(
             kernel, self.alive[name], loads, lambda: self.alive, quarantine, {}, task, leaving
         )
@@ -466,13 +468,13 @@
         def send_to(data, names, alive):
             for other in names if name not in self.down else ():
                 if other not in self.down and self.rng.random() >= self.loss:
-                    self.gossip[other]._hear(data)
+                    self.gossip[other]._receive(data)
 
         made._send_to = send_to
         self.tasks[name], self.gossip[name] = task, made
 
     def answer(self, name, named):
-        self.tasks[name].answered("t@5", named, Source(Asked.REQUEST, self.now))
+        self.tasks[name].answered("t@5", named, StatementSource(CallKind.REQUEST, self.now))
 
     async def advance(self, seconds):
         """Let all hosts that are up send their reports for some seconds."""
@@ -480,7 +482,7 @@
         while self.now < end:
             for name in self.alive.keys() - self.down:
                 await self.gossip[name].tick()
-            self.now += gossip.EVERY
+            self.now += gossip.REPORT_INTERVAL
 
     async def seconds_until(self, known):
         began = self.now
@@ -488,43 +490,43 @@
             here = [n for n in self.alive if n not in self.down]
             for name in here:
                 await self.gossip[name].tick()
-            if all(self.all_limits[n].rate_by_life.get("t@5") == known for n in here):
+            if all(self.all_limits[n].rate_by_incarnation.get("t@5") == known for n in here):
                 return self.now - began
-            self.now += gossip.EVERY
+            self.now += gossip.REPORT_INTERVAL
         return 10.0
 
     async def test_all_know_of_a_limit_within_half_a_second_though_datagrams_are_lost(self):
         self.loss = 0.1
         await self.advance(1.0)
-        self.answer("b-7", NamedLimit(1.2, "1.2"))
+        self.answer("b-7", StatedLimit(1.2, "1.2"))
         self.assertLess(await self.seconds_until(1.2), 0.5)
 
     async def test_all_know_of_it_though_a_hub_is_killed(self):
         await self.advance(1.0)
-        self.down = {hub_ranking("b", self.alive)[0]}
-        self.answer("c-1", NamedLimit(1.2, "1.2"))
+        self.down = {aggregator_ranking("b", self.alive)[0]}
+        self.answer("c-1", StatedLimit(1.2, "1.2"))
         self.assertLess(await self.seconds_until(1.2), 1.0)
 
     async def test_all_know_of_its_end(self):
-        self.answer("b-7", NamedLimit(1.2, "1.2"))
+        self.answer("b-7", StatedLimit(1.2, "1.2"))
         await self.seconds_until(1.2)
         await self.advance(1.0)
         self.answer("d-3", None)
         self.assertLess(await self.seconds_until(None), 0.5)
 
     async def test_host_that_restarts_is_told_within_a_second(self):
-        self.answer("b-7", NamedLimit(1.2, "1.2"))
+        self.answer("b-7", StatedLimit(1.2, "1.2"))
         await self.seconds_until(1.2)
         await self.advance(2.0)
         self.add_host("d-9")
         self.assertLess(await self.seconds_until(1.2), 1.0)
 
     async def test_unreadable_limit_is_taken_for_a_low_one_and_never_raises_one(self):
-        self.answer("b-7", NamedLimit(None, "many"))
-        self.assertEqual(self.all_limits["b-7"].rate_by_life, {"t@5": UNREADABLE_RATE})
-        self.answer("b-7", NamedLimit(0.1, "0.1"))
-        self.answer("b-7", NamedLimit(None, "many"))
-        self.assertEqual(self.all_limits["b-7"].rate_by_life, {"t@5": 0.1})
+        self.answer("b-7", StatedLimit(None, "many"))
+        self.assertEqual(self.all_limits["b-7"].rate_by_incarnation, {"t@5": UNREADABLE_RATE})
+        self.answer("b-7", StatedLimit(0.1, "0.1"))
+        self.answer("b-7", StatedLimit(None, "many"))
+        self.assertEqual(self.all_limits["b-7"].rate_by_incarnation, {"t@5": 0.1})
 
 
 if __name__ == "__main__":
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,16 +15,10 @@
 from returns.result import Failure, Success
 
 from oleanderhill.clients.changelog import ChangeLog
-from oleanderhill.clients.currency import Currency
+from oleanderhill.clients.freshness import Freshness
 from oleanderhill.clients.httpcall import HttpCaller
 from oleanderhill.clients.keyed import KeyedCopy
-from oleanderhill.clients.mirror import Follower, Mirror
-from oleanderhill.clients.readings import (
-    CHECK_INTERVAL,
-    MISSED_CHANGES_WINDOW,
-    Reading,
-    StoreSource,
-)
+from oleanderhill.clients.mirror import Mirror, Subscription
 from oleanderhill.clients.relay import PeerSource, RelayServer
 from oleanderhill.clients.storage import (
     NEVER,
@@ -34,6 +28,12 @@
     Listing,
     Revision,
 )
+from oleanderhill.clients.store_reads import (
+    CHECK_INTERVAL,
+    MISSED_CHANGES_WINDOW,
+    ReadResult,
+    StoreSource,
+)
 from oleanderhill.clock import awake_or_not
 from oleanderhill.exceptions import (
     NoReadingError,
@@ -56,7 +56,7 @@
 )
 from oleanderhill.kernel import Kernel
 from oleanderhill.records import Records
-from oleanderhill.serving.reports import hub_ranking
+from oleanderhill.serving.reports import aggregator_ranking
 
 
 def rev(number, generation=1):
@@ -119,10 +119,10 @@
             for p in self.alive.values()
         }
         self.assertEqual({reader_of(d, alive).name for d in "ab"}, strong)
-        self.assertEqual({hub_ranking(d, alive)[0] for d in "ab"}, strong)
+        self.assertEqual({aggregator_ranking(d, alive)[0] for d in "ab"}, strong)
         self.assertIn(preferred_owner("d0", alive), strong)
         # In a data centre with one strong machine the second aggregator is a weaker one.
-        self.assertEqual(len(hub_ranking("a", alive)), 2)
+        self.assertEqual(len(aggregator_ranking("a", alive)), 2)
         del alive["e2"], alive["e3"]
         self.assertIsNotNone(reader_of("a", alive))
 
@@ -191,7 +191,7 @@
         held = {"configuration": rev(7)}
         records = SimpleNamespace(note=lambda part, what, **facts: self.notes.append((what, facts)))
         source = StoreSource(shelf, ["a/"], lambda: held, self.proved.append, records)
-        source.checks = checks
+        source.run_freshness_checks = checks
         return source
 
     async def test_unchanged_configuration_is_proved_as_of_the_question(self):
@@ -206,7 +206,7 @@
             found = await self.source(shelf, checks).read(rev(9), 100.0)
             await asyncio.sleep(0.02)
             self.assertEqual(
-                (found.unwrap().proved_at, self.proved), (100.0 - MISSED_CHANGES_WINDOW, [])
+                (found.unwrap().verified_at, self.proved), (100.0 - MISSED_CHANGES_WINDOW, [])
             )
 
     async def test_what_a_check_shows_and_a_watch_given_up_are_in_the_log(self):
@@ -318,7 +318,7 @@
         sources = ReadingSources(
             me, None, [], entries, HttpCaller(), dict, print, Records("entry-0")
         )
-        sources._introduced = True
+        sources._presences_loaded = True
         return sources
 
     async def names(self, sources, now):
@@ -363,8 +363,8 @@
     return Mirror(
         Kernel(),
         sources,
-        Currency(5.0),
-        [Follower("", replace, change)],
+        Freshness(5.0),
+        [Subscription("", replace, change)],
         lambda now: None,
         uncertain_until.append,
         2.0,
@@ -387,12 +387,12 @@
         # The reader last verified its content 2 s ago and answers slowly. If a peer took the time
         # of the answer for that of the check, a removed key would be accepted beyond the bound.
         now = awake_or_not()
-        self.reader_mirror._take(
-            Reading(rev(7), True, [Change("k", b"1", rev(7))], now - 2.0, now - 1.0)
+        self.reader_mirror._apply_reading(
+            ReadResult(rev(7), True, [Change("k", b"1", rev(7))], now - 2.0, now - 1.0)
         )
         asked = awake_or_not()
         found = (await self.peer.read(None, asked)).unwrap()
-        self.assertLessEqual(found.proved_at, now - 2.0 + 0.001)
+        self.assertLessEqual(found.verified_at, now - 2.0 + 0.001)
         self.assertLessEqual(found.read_at, now - 1.0 + 0.001)
         self.assertEqual(found.changes, [Change("k", b"1", rev(7))])
 
@@ -403,19 +403,23 @@
         # until their next read of the whole content.
         copy = KeyedCopy(lambda value: value, Records("here"))
         mirror = make_mirror(_FakeSources(self.store), {}, [])
-        mirror._followers = [Follower("", copy.replace, copy.change)]
-        mirror._take(Reading(rev(10), True, [Change("plan", b"old", rev(9))], 0.0, 0.0))
+        mirror._subscriptions = [Subscription("", copy.replace, copy.change)]
+        mirror._apply_reading(ReadResult(rev(10), True, [Change("plan", b"old", rev(9))], 0.0, 0.0))
         copy.put("plan", b"new", rev(12))
-        mirror._take(Reading(rev(14), False, [Change("plan", b"new", rev(12))], 0.0, 0.0))
+        mirror._apply_reading(
+            ReadResult(rev(14), False, [Change("plan", b"new", rev(12))], 0.0, 0.0)
+        )
         self.assertEqual(list(mirror.log.since(rev(10))), [Change("plan", b"new", rev(12))])
 
     async def test_question_waits_for_news(self):
         now = awake_or_not()
-        self.reader_mirror._take(Reading(rev(7), True, [], now, now))
+        self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now, now))
         asked = asyncio.ensure_future(self.peer.read(rev(7), now))
         await asyncio.sleep(0.1)
         self.assertFalse(asked.done())
-        self.reader_mirror._take(Reading(rev(9), False, [Change("k", b"2", rev(8))], now, now))
+        self.reader_mirror._apply_reading(
+            ReadResult(rev(9), False, [Change("k", b"2", rev(8))], now, now)
+        )
         found = (await asked).unwrap()
         self.assertEqual((found.revision, found.changes), (rev(9), [Change("k", b"2", rev(8))]))
 
@@ -423,10 +427,12 @@
         # The peer read the store itself and is ahead of the host that it asks. It retains its
         # content and does not revert to that host's revision.
         now = awake_or_not()
-        self.reader_mirror._take(Reading(rev(7), True, [Change("k", b"1", rev(7))], now, now))
+        self.reader_mirror._apply_reading(
+            ReadResult(rev(7), True, [Change("k", b"1", rev(7))], now, now)
+        )
         asked = asyncio.ensure_future(self.peer.read(rev(9), now))
         await asyncio.sleep(0.05)
-        self.reader_mirror._take(Reading(rev(8), False, [], now, now))
+        self.reader_mirror._apply_reading(ReadResult(rev(8), False, [], now, now))
         found = (await asked).unwrap()
         self.assertEqual((found.revision, list(found.changes)), (rev(9), []))
 
@@ -434,20 +440,20 @@
         # The store is about to drop its history, so the read hangs. If the reader sent its
         # freshness check only with changes, sixty hosts would each read the store without a result.
         now = awake_or_not()
-        self.reader_mirror._take(Reading(rev(7), True, [], now - 2.0, now))
+        self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now - 2.0, now))
         asked = asyncio.ensure_future(self.peer.read(rev(7), now))
         await asyncio.sleep(0.1)
-        self.reader_mirror._currency.prove(now + 0.1)
+        self.reader_mirror._freshness.record_verified(now + 0.1)
         found = (await asked).unwrap()
         self.assertEqual((found.revision, list(found.changes)), (rev(7), []))
-        self.assertLessEqual(found.proved_at, now + 0.1)
-        self.assertGreater(found.proved_at, now - 1.0)
+        self.assertLessEqual(found.verified_at, now + 0.1)
+        self.assertGreater(found.verified_at, now - 1.0)
 
     async def test_host_that_can_not_read_says_so_in_time(self):
         # The reader of this data centre is partitioned from the store. The peer gets a failure soon
         # enough to read the store itself well within the bound of 2 s.
         now = awake_or_not()
-        self.reader_mirror._take(Reading(rev(7), True, [], now, now))
+        self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now, now))
         before = awake_or_not()
         found = await self.peer.read(rev(7), before)
         self.assertFalse(is_successful(found))
@@ -459,7 +465,7 @@
         # treat their groups as gone.
         now = awake_or_not()
         self.reader_mirror._mark_uncertain(now + 2.0)
-        self.reader_mirror._take(Reading(rev(7), True, [], now, now))
+        self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now, now))
         uncertain_until = []
         peer_mirror = make_mirror(_FakeSources(self.peer), {}, uncertain_until)
         await peer_mirror._read()
@@ -473,11 +479,11 @@
         mirror._on_uncertain = lambda until: order.append("doubt")
         mirror._on_applied = lambda now: order.append("taken")
         now = awake_or_not()
-        self.store.readings = [Reading(rev(1), True, [], now, now)]
+        self.store.readings = [ReadResult(rev(1), True, [], now, now)]
         await mirror._read()
         _, error = await mirror._read()
         mirror._disconnect(error)
-        self.store.readings = [Reading(rev(2), False, [], now, now)]
+        self.store.readings = [ReadResult(rev(2), False, [], now, now)]
         await mirror._read()
         self.assertEqual(order, ["taken", "doubt", "taken"])
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -15,9 +15,9 @@
     LoadReport,
     Scope,
     aggregate,
+    aggregator_ranking,
     aggregator_rankings,
-    audience,
-    hub_ranking,
+    report_recipients,
     split_report,
     subtract,
 )
@@ -30,7 +30,7 @@
     }
 
 
-def report(sender, counts, data_centre="a", progress=None, suspects=(), turned_away=None):
+def report(sender, counts, data_centre="a", progress=None, suspects=(), rejections=None):
     return LoadReport(
         sender,
         Scope.OWN,
@@ -39,15 +39,15 @@
         counts,
         list(suspects),
         progress or {},
-        turned_away or {},
+        rejections or {},
     )
 
 
 class AudienceTest(unittest.TestCase):
-    def test_few_tell_all_others(self):
+    def test_small_mesh_sends_to_all_others(self):
         alive = presences(MAX_MESH_HOSTS)
         self.assertEqual(
-            len(audience(alive["e0"], alive, aggregator_rankings(alive), (), False).own),
+            len(report_recipients(alive["e0"], alive, aggregator_rankings(alive), (), False).own),
             MAX_MESH_HOSTS - 1,
         )
 
@@ -59,39 +59,43 @@
         sent = 0
         reporters = {}
         for me in alive.values():
-            if hub_ranking(me.data_centre, alive)[0] != me.name:
-                for hub in audience(me, alive, aggregator_rankings(alive), (), False).own:
+            if aggregator_ranking(me.data_centre, alive)[0] != me.name:
+                for hub in report_recipients(me, alive, aggregator_rankings(alive), (), False).own:
                     reporters.setdefault(hub, []).append(me.name)
                     sent += 1
         for hub, names in reporters.items():
-            to = audience(alive[hub], alive, aggregator_rankings(alive), names, False)
-            sent += len(to.hubs) + len(to.neighbours)
+            to = report_recipients(alive[hub], alive, aggregator_rankings(alive), names, False)
+            sent += len(to.aggregators) + len(to.local_hosts)
         self.assertEqual(len(reporters), 3)
         self.assertLessEqual(sent, 2 * 90 + 6)
 
-    def test_silent_hub_is_stood_in_for(self):
+    def test_backup_receives_reports_of_a_silent_aggregator(self):
         alive = presences(30)
-        first, second = hub_ranking("a", alive)
+        first, second = aggregator_ranking("a", alive)
         me = next(p for p in alive.values() if p.name not in (first, second) and p[3] == "a")
-        self.assertEqual(audience(me, alive, aggregator_rankings(alive), (), False).own, (first,))
         self.assertEqual(
-            audience(me, alive, aggregator_rankings(alive), (), True).own, (first, second)
+            report_recipients(me, alive, aggregator_rankings(alive), (), False).own, (first,)
+        )
+        self.assertEqual(
+            report_recipients(me, alive, aggregator_rankings(alive), (), True).own, (first, second)
         )
         # A host that receives reports aggregates them, whether or not it detected the timeout.
         self.assertEqual(
-            audience(alive[second], alive, aggregator_rankings(alive), [me.name], False).neighbours,
+            report_recipients(
+                alive[second], alive, aggregator_rankings(alive), [me.name], False
+            ).local_hosts,
             (me.name,),
         )
 
-    def test_hub_that_stands_in_is_told_by_the_other_hubs(self):
+    def test_backup_aggregator_receives_remote_sums(self):
         alive = presences(30)
-        hub = hub_ranking("a", alive)[0]
-        second = hub_ranking("b", alive)[1]
-        to = audience(
+        hub = aggregator_ranking("a", alive)[0]
+        second = aggregator_ranking("b", alive)[1]
+        to = report_recipients(
             alive[hub], alive, aggregator_rankings(alive), ["e0"], False, [second, "gone"]
         )
-        self.assertIn(second, to.hubs)
-        self.assertNotIn("gone", to.hubs)
+        self.assertIn(second, to.aggregators)
+        self.assertNotIn("gone", to.aggregators)
 
 
 class SumTest(unittest.TestCase):
@@ -105,12 +109,12 @@
             self.assertEqual(remainder.get(target, 0), others)
 
     def test_latest_progress_and_all_suspects_hold(self):
-        first = report("e1", {"p": 1}, progress={"p": 0.3}, suspects=["p"], turned_away={"m": 2})
-        second = report("e2", {"p": 1}, progress={"p": 0.1}, suspects=["q"], turned_away={"m": 1})
+        first = report("e1", {"p": 1}, progress={"p": 0.3}, suspects=["p"], rejections={"m": 2})
+        second = report("e2", {"p": 1}, progress={"p": 0.1}, suspects=["q"], rejections={"m": 1})
         total = aggregate("hub", Scope.TOTAL, "a", [first, second])
         self.assertEqual(total.progress, {"p": 0.1})
         self.assertEqual(total.suspects, ["p", "q"])
-        self.assertEqual(total.turned_away, {"m": 3})
+        self.assertEqual(total.rejections, {"m": 3})
 
     def test_parts_fit_into_datagrams_and_hold_it_all(self):
         rng = random.Random(1)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -3,15 +3,15 @@
 import random
 import unittest
 
-from oleanderhill.routing.evidence import EvidenceBook
+from oleanderhill.routing.evidence import EvidenceTracker
 from oleanderhill.routing.messages import DomainEvidence, GroupState
-from oleanderhill.routing.router import Choice, Evidence, NoChoice, Router, Wanted
+from oleanderhill.routing.router import Choice, Evidence, NoChoice, Requirements, Router
 from oleanderhill.routing.skew import ClockOffsets
 from oleanderhill.types import GroupView, Member
 
 from .test_placement import GROUP, SPEC, record
 
-WANTED = Wanted(SPEC.model)
+WANTED = Requirements(SPEC.model)
 
 
 def evidence(group, proven=100.0, epoch=1, owner=1, running=0, centre="dc", **more):
@@ -89,11 +89,11 @@
         self.assertFalse(r.may_send("g", 1, 100.0))
 
 
-class EvidenceBookTest(unittest.TestCase):
+class EvidenceTrackerTest(unittest.TestCase):
     def test_records_of_a_successor_outrank_those_of_an_owner_that_went_on_unsaved(self):
         # While the store was down, the old owner continued without saving and reached ledger
         # version 9. Its successor starts from the stored version 3, with a higher owner epoch.
-        evidence_book = EvidenceBook(router())
+        evidence_book = EvidenceTracker(router())
         old_record, new_record = record(epoch=9), record(epoch=2)
         states = (GroupState(3, 0, 0, 0, 8),)
         evidence_book.learn(DomainEvidence("d", "dc", 1, 9, states, (old_record,), 2), 100.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
     TargetHost,
 )
 from oleanderhill.groups.plans import DomainPlan, decode_plan, encode_plan, plan_key
-from oleanderhill.groups.router import serving_groups
+from oleanderhill.groups.serving_groups import serving_groups
 from oleanderhill.kernel import Kernel, Task
 from oleanderhill.platform.decoding import decode_configuration
 from oleanderhill.platform.host_list import HostList
@@ -96,7 +96,7 @@
                 "serving_groups",
                 lambda plans, hosts: recomputed.extend(plans) or serving_groups(plans, hosts),
             ),
-            mock.patch.object(EngineHosts, "_work_out", autospec=True) as rebuilt,
+            mock.patch.object(EngineHosts, "_rebuild", autospec=True) as rebuilt,
         ):
             self.assertTrue(fleet.view.refresh(CATALOG))
             engines.by_domain(CATALOG)
@@ -181,7 +181,7 @@
             inventory._by_domain,
             inventory._last_change_by_domain,
             inventory._engines_by_service,
-            engines._change_seen,
+            engines._last_change_seen,
         ):
             self.assertEqual(len(cached), 0)
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oleanderhill.clients.currency import PROOF_MARGIN, Currency
+from oleanderhill.clients.freshness import FRESHNESS_MARGIN, Freshness
 from oleanderhill.groups.inventory import Instance, TargetHost
 from oleanderhill.outcomes import Problem
 from oleanderhill.requests.attempts import (
@@ -21,15 +21,20 @@
     Sending,
 )
 from oleanderhill.routing.router import Choice
-from oleanderhill.serving import placing
-from oleanderhill.serving.admission import Accepted, ReturningCallers, admit
-from oleanderhill.serving.events import EventCutter, EventOrder
-from oleanderhill.serving.forwarding import Facts
-from oleanderhill.serving.patience import stall_after
-from oleanderhill.serving.placing import Candidate, LoadBook
-from oleanderhill.serving.prediction import may_wait, predict
-from oleanderhill.serving.retries import HEARD_LASTS, RetryCount, SharedRetryBudget, counted
-from oleanderhill.serving.standing import Standing, room, standing
+from oleanderhill.serving import placement
+from oleanderhill.serving.admission import Accepted, RetryDetector, admit
+from oleanderhill.serving.admission_class import AdmissionClass, admission_class, queue_limit
+from oleanderhill.serving.events import EventSequence, EventSplitter
+from oleanderhill.serving.forwarding import RequestInfo
+from oleanderhill.serving.placement import Candidate, LoadTracker
+from oleanderhill.serving.prediction import max_waiting, predict
+from oleanderhill.serving.retries import (
+    PEER_COUNT_MAX_AGE,
+    RetryCount,
+    SharedRetryBudget,
+    sum_counts,
+)
+from oleanderhill.serving.stall_timeout import stall_timeout_for
 from oleanderhill.settings.catalog import (
     Account,
     Backend,
@@ -67,7 +72,7 @@
 
 
 def facts(key="k"):
-    return Facts("r1", 1.0, key, "", None)
+    return RequestInfo("r1", 1.0, key, "", None)
 
 
 def target(name, data_centre="here", slots=10):
@@ -107,7 +112,7 @@
         self.assertEqual(admit(catalog(route()), True, facts("?"), "h", "/a/").status, 401)
         self.assertEqual(admit(catalog(route()), True, facts(), "h", "/none/").status, 404)
 
-    def test_host_that_is_not_sure_says_come_back(self):
+    def test_host_without_fresh_configuration_asks_for_a_retry(self):
         # A route or an API key was added while this host was partitioned. A caller does not retry
         # after 404 or 401; after 503 it retries at a host with a current configuration.
         for configuration, path, key in (
@@ -143,47 +148,51 @@
         small = predict(shape(), ModelShape("small", 3, 0.4, 0.6, 12.0, 1.1))
         self.assertAlmostEqual(large.first_event, 0.10, delta=0.01)
         self.assertAlmostEqual(small.first_event, 0.06, delta=0.01)
-        self.assertAlmostEqual(large.place_every, 0.12, delta=0.01)
+        self.assertAlmostEqual(large.slot_interval, 0.12, delta=0.01)
 
     def test_so_many_may_wait_that_the_last_is_on_time(self):
         # A slot becomes free every 0.12 s. A request with a goal of 0.3 s for its first event can
         # wait for one slot, with 0.4 s for two; with 0.1 s it needs a free slot immediately.
         large = predict(shape(), ModelShape("large", 4, 0.6, 1.0, 16.0, 1.6))
-        waiting = [may_wait(large, goal, 13) for goal in (0.1, 0.2, 0.3, 0.4)]
+        waiting = [max_waiting(large, goal, 13) for goal in (0.1, 0.2, 0.3, 0.4)]
         self.assertEqual([int(w) for w in waiting], [0, 0, 1, 2])
-        self.assertLessEqual(may_wait(large, 60.0, 13), 6.5)
+        self.assertLessEqual(max_waiting(large, 60.0, 13), 6.5)
 
     def test_without_the_engines_terms_nothing_is_predicted(self):
         self.assertIsNone(predict(shape(times=None), ModelShape("m", 1, 1.0, 1.0, 1.0, 1.0)))
 
 
 class StandingTest(unittest.TestCase):
-    def test_who_has_a_part_of_a_stream_goes_first_and_who_came_back_last(self):
+    def test_started_streams_have_priority_over_fresh_and_retried_requests(self):
         begun, fresh, late = (
-            room(standing(*state), True)
+            queue_limit(admission_class(*state), True)
             for state in ((True, 1, True), (False, 0, False), (True, 0, False))
         )
-        self.assertGreater(begun.places, fresh.places)
-        self.assertGreater(fresh.places, late.places)
+        self.assertGreater(begun.max_load, fresh.max_load)
+        self.assertGreater(fresh.max_load, late.max_load)
         self.assertLess(begun.urgency, fresh.urgency)
         self.assertLess(fresh.urgency, late.urgency)
 
     def test_late_request_leaves_places_for_those_that_can_be_on_time(self):
-        book = LoadBook("here", random.Random(1))
+        book = LoadTracker("here", random.Random(1))
         for _ in range(12):
             book.begin("a")
         full = [target("a", slots=13)]
-        late, fresh = room(Standing.LATE, True), room(Standing.FRESH, True)
-        self.assertIsNone(book.choose(full, (), 0.0, late.places))
-        self.assertEqual(book.choose(full, (), 0.0, fresh.places).target, "a")
+        late, fresh = queue_limit(AdmissionClass.LATE, True), queue_limit(
+            AdmissionClass.FRESH, True
+        )
+        self.assertIsNone(book.choose(full, (), 0.0, late.max_load))
+        self.assertEqual(book.choose(full, (), 0.0, fresh.max_load).target, "a")
 
     def test_fresh_request_waits_where_it_is_on_time_all_the_same(self):
-        self.assertEqual(room(Standing.FRESH, True, 0.2).places, 1.2)
-        self.assertEqual(room(Standing.LATE, True, 0.2), room(Standing.LATE, True))
+        self.assertEqual(queue_limit(AdmissionClass.FRESH, True, 0.2).max_load, 1.2)
+        self.assertEqual(
+            queue_limit(AdmissionClass.LATE, True, 0.2), queue_limit(AdmissionClass.LATE, True)
+        )
 
     def test_request_moved_from_a_target_counts_as_late_unless_its_stream_has_begun(self):
-        self.assertEqual(standing(False, 1, False), Standing.LATE)
-        self.assertEqual(standing(False, 1, True), Standing.BEGUN)
+        self.assertEqual(admission_class(False, 1, False), AdmissionClass.LATE)
+        self.assertEqual(admission_class(False, 1, True), AdmissionClass.BEGUN)
 
 
 class ReturningTest(unittest.TestCase):
@@ -191,56 +200,56 @@
         # Caller timeouts range from 4.25 to 5 s. Judged by the timeout alone, three of four first
         # attempts counted as retries after a rejection, got the queue limit of late requests and
         # were rejected although slots were free. A request on an open connection is not a retry.
-        returning = ReturningCallers()
+        returning = RetryDetector()
         patience = [4.25 + 0.75 * n / 99 for n in range(100)]
         random.Random(1).shuffle(patience)
-        self.assertFalse(any(returning.came_back("r", p, False) for p in patience))
+        self.assertFalse(any(returning.is_retry("r", p, False) for p in patience))
 
-    def test_caller_that_comes_back_is_told_by_a_new_connection_and_less_patience(self):
-        returning = ReturningCallers()
-        returning.came_back("r", 5.0, True)
-        self.assertTrue(returning.came_back("r", 4.5, True))
-        self.assertFalse(returning.came_back("r", 4.5, False))
-        self.assertFalse(returning.came_back("r", 4.95, True))
-        self.assertFalse(returning.came_back("r", None, True))
-        self.assertFalse(returning.came_back("other", 4.5, True))
+    def test_retry_is_detected_by_a_new_connection_and_a_shorter_timeout(self):
+        returning = RetryDetector()
+        returning.is_retry("r", 5.0, True)
+        self.assertTrue(returning.is_retry("r", 4.5, True))
+        self.assertFalse(returning.is_retry("r", 4.5, False))
+        self.assertFalse(returning.is_retry("r", 4.95, True))
+        self.assertFalse(returning.is_retry("r", None, True))
+        self.assertFalse(returning.is_retry("other", 4.5, True))
 
 
 class CurrencyTest(unittest.TestCase):
     def test_proof_runs_out_before_the_bound(self):
         # A key is revoked at 10.0, and the host receives no updates from then on. A request sent at
         # 15.0 or later must not run with it; the last freshness check may just precede the removal.
-        currency = Currency(5.0)
-        currency.prove(9.99)
-        self.assertTrue(currency.holds(9.99 + 5.0 - PROOF_MARGIN - 0.01))
-        self.assertFalse(currency.holds(15.0 - PROOF_MARGIN + 0.01))
+        freshness = Freshness(5.0)
+        freshness.record_verified(9.99)
+        self.assertTrue(freshness.is_fresh(9.99 + 5.0 - FRESHNESS_MARGIN - 0.01))
+        self.assertFalse(freshness.is_fresh(15.0 - FRESHNESS_MARGIN + 0.01))
 
     def test_older_proof_does_not_replace_a_newer_one(self):
-        currency = Currency(5.0)
-        currency.prove(10.0)
-        currency.prove(8.0)
-        self.assertEqual(currency.age(11.0), 1.0)
+        freshness = Freshness(5.0)
+        freshness.record_verified(10.0)
+        freshness.record_verified(8.0)
+        self.assertEqual(freshness.age(11.0), 1.0)
 
     def test_nothing_is_proved_at_the_start(self):
-        self.assertFalse(Currency(5.0).holds(0.0))
+        self.assertFalse(Freshness(5.0).is_fresh(0.0))
 
 
 class PlacingTest(unittest.TestCase):
     def setUp(self):
-        self.book = LoadBook("here", random.Random(3))
+        self.book = LoadTracker("here", random.Random(3))
 
     def test_least_busy_by_own_and_peers_counts(self):
         self.book.begin("a")
-        self.book.hear("peer", {"b": 3}, [], {}, {}, 10.0)
+        self.book.apply_peer_update("peer", {"b": 3}, [], {}, {}, 10.0)
         candidates = [target("a"), target("b"), target("c")]
         self.assertEqual(self.book.choose(candidates, (), 10.1).target, "c")
         self.assertEqual(self.book.choose(candidates, ("c",), 10.1).target, "a")
         self.assertEqual(self.book.choose(candidates, ("a", "b", "c"), 10.1), None)
 
     def test_peers_counts_run_out(self):
-        self.book.hear("peer", {"a": 3}, [], {}, {}, 10.0)
+        self.book.apply_peer_update("peer", {"a": 3}, [], {}, {}, 10.0)
         self.assertEqual(self.book.load("a", 10.1), 3)
-        self.assertEqual(self.book.load("a", 10.1 + placing.PEER_COUNTS_LAST), 0)
+        self.assertEqual(self.book.load("a", 10.1 + placement.PEER_COUNTS_MAX_AGE), 0)
 
     def test_own_data_centre_goes_first_until_it_is_busier(self):
         local, remote = target("near"), target("far", "there")
@@ -272,16 +281,16 @@
         sent = Counter()
         groups = [target(f"g{n}", "abcde"[n % 5], slots=11) for n in range(61)]
         for number in range(60):
-            book = LoadBook("abcde"[number % 5], random.Random(number))
-            book.heard_later = 0.15
-            book.hear("total", {f"g{n}": 6 for n in range(1, 61)}, [], {}, {}, 0.0)
+            book = LoadTracker("abcde"[number % 5], random.Random(number))
+            book.peer_report_delay = 0.15
+            book.apply_peer_update("total", {f"g{n}": 6 for n in range(1, 61)}, [], {}, {}, 0.0)
             chosen = book.choose(groups, (), 0.0, 1.0, lambda address: False)
             sent[chosen.target] += 1
         self.assertLessEqual(sent["g0"], 11)
 
     def test_few_requests_choose_among_all(self):
         groups = [target(f"g{n}") for n in range(6)]
-        self.book.hear("peer", {f"g{n}": 3 for n in range(1, 6)}, [], {}, {}, 0.0)
+        self.book.apply_peer_update("peer", {f"g{n}": 3 for n in range(1, 6)}, [], {}, {}, 0.0)
         for _ in range(20):
             self.assertEqual(self.book.choose(groups, (), 0.0, 1.0).target, "g0")
 
@@ -320,24 +329,24 @@
         # A group stalled for one request, but makes progress on requests of another entry host. If
         # it were avoided for seconds, its slots would be missing and callers would be rejected.
         self.book.suspect("a", 10.0)
-        self.book.hear("peer", {"a": 1}, [], {"a": 0.05}, {}, 10.04)
+        self.book.apply_peer_update("peer", {"a": 1}, [], {"a": 0.05}, {}, 10.04)
         self.assertTrue(self.book.is_suspect("a", 10.05))
-        self.book.hear("peer", {"a": 1}, [], {"a": 0.01}, {}, 10.2)
+        self.book.apply_peer_update("peer", {"a": 1}, [], {"a": 0.01}, {}, 10.2)
         self.assertFalse(self.book.is_suspect("a", 10.2))
 
     def test_target_that_sends_to_others_is_busy_and_not_stuck(self):
         # One request has waited long for its first event, while other requests at the same group
         # get theirs, here or at a peer: the group is processing prompts and is not dead. Moving the
         # request would process its prompt twice, which under load delays later requests too.
-        self.book.hear("peer", {"a": 1}, [], {"a": 0.05}, {}, 10.0)
-        self.assertTrue(self.book.goes_on("a", 10.1, 0.2))
-        self.assertFalse(self.book.goes_on("a", 10.3, 0.2))
+        self.book.apply_peer_update("peer", {"a": 1}, [], {"a": 0.05}, {}, 10.0)
+        self.assertTrue(self.book.recently_progressed("a", 10.1, 0.2))
+        self.assertFalse(self.book.recently_progressed("a", 10.3, 0.2))
 
     def test_turned_away_counts_for_a_second_here_and_at_peers(self):
-        self.book.turn_away("m", 10.0)
-        self.book.hear("peer", {}, [], {}, {"m": 4}, 10.2)
-        self.assertEqual(self.book.turned_away("m", 10.5), 5)
-        self.assertEqual(self.book.turned_away("m", 11.1), 0)
+        self.book.count_rejection("m", 10.0)
+        self.book.apply_peer_update("peer", {}, [], {}, {"m": 4}, 10.2)
+        self.assertEqual(self.book.rejections("m", 10.5), 5)
+        self.assertEqual(self.book.rejections("m", 11.1), 0)
 
     def test_busiest_hour_spreads_evenly(self):
         # 80 requests are placed one after the other on eight groups of ten slots. No group may get
@@ -352,11 +361,11 @@
 class PatienceTest(unittest.TestCase):
     def test_stream_leaves_early_enough_to_go_on_in_time(self):
         stream = route(repeatable=Repeatable.STREAM, resumable=True, goal=0.4, pause_goal=0.3)
-        self.assertLess(stall_after(stream, True) + 0.1, 0.3)
-        self.assertLess(stall_after(stream, False), 0.4)
+        self.assertLess(stall_timeout_for(stream, True) + 0.1, 0.3)
+        self.assertLess(stall_timeout_for(stream, False), 0.4)
 
     def test_plain_request_leaves_time_for_a_second_target(self):
-        self.assertLess(stall_after(route(), False) * 2, 1.0)
+        self.assertLess(stall_timeout_for(route(), False) * 2, 1.0)
 
 
 class RetryTest(unittest.TestCase):
@@ -386,16 +395,16 @@
         for _ in range(19):
             budget.request(0.0)
         alone = sum(budget.take(1.0) for _ in range(40))
-        budget.hear("total/0", RetryCount(86, 86 * 19, 60), 1.6)
+        budget.apply_peer_update("total/0", RetryCount(86, 86 * 19, 60), 1.6)
         self.assertLess(alone, 6)
         self.assertGreaterEqual(sum(budget.take(1.6) for _ in range(40)), 4)
 
     def test_on_its_own_again_once_it_hears_nobody(self):
         budget = SharedRetryBudget(0.2, 274, 10.0)
         budget.hosts = 87
-        budget.hear("total/0", RetryCount(86, 1600, 0), 1.0)
-        self.assertGreater(budget.left(1.0), 3.0)
-        self.assertLess(budget.left(1.0 + HEARD_LASTS + 0.01), 2.0)
+        budget.apply_peer_update("total/0", RetryCount(86, 1600, 0), 1.0)
+        self.assertGreater(budget.remaining(1.0), 3.0)
+        self.assertLess(budget.remaining(1.0 + PEER_COUNT_MAX_AGE + 0.01), 2.0)
 
     @given(
         st.integers(2, 40),
@@ -429,7 +438,7 @@
                     if other != number and not (cut and (other + number) % 2)
                 ]
                 if reachable and rng.random() > 0.1:
-                    budget.hear("total/0", counted(reachable), now)
+                    budget.apply_peer_update("total/0", sum_counts(reachable), now)
                 if rng.random() < 0.1:
                     budget.request(now)
                     requested_at.append(now)
@@ -486,7 +495,7 @@
     def test_events_come_out_whole_however_the_bytes_are_cut(self, payloads, data):
         sent = [b"id: %d\ndata: %s\n\n" % (n, p) for n, p in enumerate(payloads)]
         stream = b"".join(sent)
-        cutter, found = EventCutter(), []
+        cutter, found = EventSplitter(), []
         while stream:
             size = data.draw(st.integers(1, len(stream)))
             found += cutter.feed(stream[:size])
@@ -496,17 +505,17 @@
         self.assertEqual(cutter.rest, b"")
 
     def test_half_an_event_is_kept_back(self):
-        cutter = EventCutter()
+        cutter = EventSplitter()
         self.assertEqual(cutter.feed(b"id: 1\ndata: x"), [])
         self.assertEqual(cutter.rest, b"id: 1\ndata: x")
 
     def test_order_takes_each_event_once_and_none_after_a_gap(self):
-        order = EventOrder(3)
-        (fourth,) = EventCutter().feed(b"id: 4\ndata: x\n\n")
-        (sixth,) = EventCutter().feed(b"id: 6\ndata: x\n\n")
-        self.assertTrue(order.admit(fourth))
-        self.assertFalse(order.admit(fourth))
-        self.assertFalse(order.admit(sixth))
+        order = EventSequence(3)
+        (fourth,) = EventSplitter().feed(b"id: 4\ndata: x\n\n")
+        (sixth,) = EventSplitter().feed(b"id: 6\ndata: x\n\n")
+        self.assertTrue(order.accept(fourth))
+        self.assertFalse(order.accept(fourth))
+        self.assertFalse(order.accept(sixth))
 
 
 if __name__ == "__main__":
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -165,7 +165,7 @@
         entries = self.site.entries
 
         def refused():
-            return [e._quarantine.problem("0f" * 16, Ran.NO) is not None for e in entries]
+            return [e._quarantine.rejection_for("0f" * 16, Ran.NO) is not None for e in entries]
 
         await until(lambda: refused() == [True, True, True])
         await self.restore(backup)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -14,7 +14,7 @@
 from oleanderhill.requests.attempts import Request, RetryBudget
 from oleanderhill.requests.exchange import Exchange, StallTimeouts, TargetRequest
 from oleanderhill.requests.suspects import SuspectsTask
-from oleanderhill.routing.router import Choice, Wanted
+from oleanderhill.routing.router import Choice, Requirements
 from oleanderhill.types import Member
 
 
@@ -66,7 +66,7 @@
 class OwnEdgeTest(unittest.IsolatedAsyncioTestCase):
     async def send(self, finder, suspects, number, body=b"fatal"):
         sink, request = _Sink(), Request(f"r{number}", True, False, time.monotonic() + 5.0)
-        requirements = Wanted("m", "", "", "")
+        requirements = Requirements("m", "", "", "")
         outgoing = TargetRequest(
             request, "hall", requirements, 1, "POST", "/v1/chat/completions", {}, body
         )
--- a/tests/test_users_site.py
+++ b/tests/test_users_site.py
@@ -148,13 +148,13 @@
         # Callers retry a rejected request on a new connection. A request on a reused connection is
         # therefore no retry.
         seen = []
-        serve = self.entry.front.serving.serve
+        serve = self.entry.front.callbacks.serve
 
         async def note(incoming, host, path, sink):
             seen.append(incoming.first_on_connection)
             await serve(incoming, host, path, sink)
 
-        self.entry.front.serving = self.entry.front.serving._replace(serve=note)
+        self.entry.front.callbacks = self.entry.front.callbacks._replace(serve=note)
         for reuse in (True, True, False):
             headers = {"Host": HOST, "Attempt-Id": "a", "Authorization": "Bearer key-a"}
             call = Call(self.entry.callers, "GET", "/scan/a", headers, reuse=reuse)
@@ -264,7 +264,7 @@
         ]
         member.alive = False
         for _ in range(6):
-            self.entry._book.hear("peer", full, [], {}, {}, time.monotonic())
+            self.entry._book.apply_peer_update("peer", full, [], {}, {}, time.monotonic())
             await asyncio.sleep(0.1)
         member.alive = True
         _, reader = await asked
@@ -305,7 +305,7 @@
         owner = self.entry._owner
         failures, refreshes = [], []
         owner.failed = failures.append
-        original = owner._look_at_all
+        original = owner._refresh_all
 
         def fail_once():
             refreshes.append(1)
@@ -313,8 +313,8 @@
                 raise ValueError("a fault")
             original()
 
-        owner._look_at_all = fail_once
-        owner.look_soon()
+        owner._refresh_all = fail_once
+        owner.refresh_soon()
         await until(lambda: len(refreshes) > 2)
         self.assertEqual([str(f) for f in failures], ["a fault"])
 
@@ -569,11 +569,11 @@
         # were taken for the answer to the next request, the caller would get another's answer.
         codec = HeaderCodec()
         extra = HTTPHeaders({"Response-Seal": "s"})
-        self.assertFalse(codec.belongs("r1", extra))
-        self.assertTrue(codec.belongs("", extra))
-        self.assertFalse(codec.belongs("r1", HTTPHeaders({"Attempt-Id": "r0"})))
-        self.assertTrue(codec.belongs("r1", HTTPHeaders({"Attempt-Id": "r1"})))
-        self.assertTrue(codec.belongs("r1", HTTPHeaders({"Not-Executed": "1"})))
+        self.assertFalse(codec.is_reply_to("r1", extra))
+        self.assertTrue(codec.is_reply_to("", extra))
+        self.assertFalse(codec.is_reply_to("r1", HTTPHeaders({"Attempt-Id": "r0"})))
+        self.assertTrue(codec.is_reply_to("r1", HTTPHeaders({"Attempt-Id": "r1"})))
+        self.assertTrue(codec.is_reply_to("r1", HTTPHeaders({"Not-Executed": "1"})))
 
     def test_malformed_values_are_typed_errors(self):
         for data in (b"{", b"[]", b'{"version": "x"}'):
