--- a/dev/oleanderhill_dev/__init__.py
+++ b/dev/oleanderhill_dev/__init__.py
@@ -1,5 +1,5 @@
-"""Development tools: stand-ins for outside systems, the demo, benchmarks and the proofs.
+"""Development tools: stand-ins for external systems, the demo, benchmarks, fuzz and mutation tests.
 
-Nothing in here is shipped. The stand-ins speak the outside systems' protocols over loopback and
-have faults that a test can switch on.
+They are not part of the distribution. The stand-ins implement the protocols of the external systems
+on loopback addresses and can inject faults for tests.
 """
--- a/dev/oleanderhill_dev/bench.py
+++ b/dev/oleanderhill_dev/bench.py
@@ -1,4 +1,4 @@
-"""``make bench``: what one entry host adds and carries, as ratios within one run."""
+"""``make bench``: latency overhead and throughput of one entry host, relative within one run."""
 
 from __future__ import annotations
 
@@ -24,16 +24,19 @@
 )
 
 KEY = "bench-key"
-NEEDED_TOKENS = 9_100
-"""Tokens a second of one node at the size to come: 20 M over 2,200 nodes."""
+REQUIRED_TOKENS_PER_SECOND = 9_100
+"""Tokens per second that each entry host relays at the planned size: 20 M over 2,200 hosts."""
 
 STREAMS = 120
-PACE = 0.02
-SIZE_TO_COME = {"core_part": 0.02, "resident_mb": 64.0, "bytes_a_second": 5_000.0}
+TOKEN_INTERVAL = 0.02
+"""Seconds between two tokens of a stream."""
+
+CONTROL_BUDGET = {"core_part": 0.02, "resident_mb": 64.0, "bytes_a_second": 5_000.0}
+"""What control traffic may cost one entry host at the planned size."""
 
 
 def settings(services: list[str]) -> dict[str, Any]:
-    """Return the team's subtree: groups of one host, so that the entry host is the narrow part."""
+    """Return the team's subtree, with groups of one host to make the entry host the bottleneck."""
     return {
         "models": {"m": {"versions": {"v1": {"weights_gb": 1.0}}}},
         "groups": {"g": {"model": "m", "version": "v1", "hosts": 1, "replicas": {"hall": 4}}},
@@ -51,7 +54,7 @@
     }
 
 
-class _Counter(Observer):
+class _EventCounter(Observer):
     def __init__(self) -> None:
         self.events = 0
 
@@ -60,7 +63,7 @@
 
 
 class Bench:
-    """One run over one site."""
+    """Measures the first entry host of a site."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -72,13 +75,15 @@
         return self.site.process_by_name[self.entry.host].pid
 
     async def latency(self, count: int) -> dict[str, Any]:
-        """Time a plain call directly and through the entry host, in turns."""
+        """Measure plain calls, alternating direct calls and calls through the entry host."""
         direct, through = histogram(), histogram()
         headers = {"Authorization": f"Bearer {KEY}"}
         service = self.site.service_addresses[0]
         for _ in range(count):
-            await self._timed(direct, Call(service, "GET", "/x", headers))
-            await self._timed(through, Call(self.entry.callers, "GET", "/services/desk/x", headers))
+            await self._time_call(direct, Call(service, "GET", "/x", headers))
+            await self._time_call(
+                through, Call(self.entry.callers, "GET", "/services/desk/x", headers)
+            )
         return {
             "direct_p50_ms": milliseconds(direct, 50),
             "direct_p99_ms": milliseconds(direct, 99),
@@ -88,15 +93,15 @@
             "added_p99_ms": round(milliseconds(through, 99) - milliseconds(direct, 99), 3),
         }
 
-    async def _timed(self, into: Any, call: Call) -> None:
+    async def _time_call(self, latencies: Any, call: Call) -> None:
         began = time.perf_counter()
         reply = (await self.caller.call(call)).value_or(None)
         if reply is None or reply.status != 200:
-            raise RuntimeError("a call of the benchmark failed")
-        record(into, time.perf_counter() - began)
+            raise RuntimeError("a benchmark call did not return status 200")
+        record(latencies, time.perf_counter() - began)
 
-    async def requests(self, seconds: float, at_once: int) -> dict[str, Any]:
-        """Make plain calls as fast as they go."""
+    async def requests(self, seconds: float, concurrency: int) -> dict[str, Any]:
+        """Measure the rate of plain calls by workers that each make one call after another."""
         headers = {"Authorization": f"Bearer {KEY}"}
         call = Call(self.entry.callers, "GET", "/services/desk/x", headers)
         ends = time.monotonic() + seconds
@@ -110,7 +115,7 @@
 
         cpu = cpu_seconds(self.pid())
         began = time.monotonic()
-        await asyncio.gather(*(worker() for _ in range(at_once)))
+        await asyncio.gather(*(worker() for _ in range(concurrency)))
         took = time.monotonic() - began
         used = cpu_seconds(self.pid()) - cpu
         return {
@@ -120,7 +125,7 @@
         }
 
     async def tokens(self, streams: int, tokens: int) -> dict[str, Any]:
-        """Relay streams at the engines' pace, one event a token."""
+        """Measure concurrent streams at the engines' token rate, one event per token."""
         headers = {"Authorization": f"Bearer {KEY}", "Content-Type": "application/json"}
         body = json.dumps(
             {
@@ -131,36 +136,36 @@
             }
         ).encode()
         call = Call(self.entry.callers, "POST", "/v1/chat/completions", headers, body, 120.0)
-        counters = [_Counter() for _ in range(streams)]
+        counters = [_EventCounter() for _ in range(streams)]
         cpu = cpu_seconds(self.pid())
         began = time.monotonic()
         results = await asyncio.gather(*(self.caller.call(call, c) for c in counters))
         took = time.monotonic() - began
         used = cpu_seconds(self.pid()) - cpu
         relayed = sum(c.events for c in counters)
-        whole = sum(1 for r in results if r.value_or(None) is not None)
+        complete = sum(1 for r in results if r.value_or(None) is not None)
         return {
             "streams": streams,
-            "whole": whole,
+            "whole": complete,
             "per_second": round(relayed / took, 1),
             "cpu_us_each": round(1e6 * used / relayed, 2),
             "per_core_second": round(relayed / used, 1),
-            "of_size_to_come": round(relayed / used / NEEDED_TOKENS, 2),
+            "of_size_to_come": round(relayed / used / REQUIRED_TOKENS_PER_SECOND, 2),
         }
 
     async def control(self, seconds: float) -> dict[str, Any]:
-        """Measure control alone, without requests, at the owner of the domain and at another."""
-        costs = [await self._idle(e, seconds) for e in self.site.entries]
+        """Measure the cost of control traffic alone, at the domain owner and another entry host."""
+        costs = [await self._idle_cost(e, seconds) for e in self.site.entries]
         owner = max(costs, key=lambda c: c["probes_a_second"])
         other = min(costs, key=lambda c: c["probes_a_second"])
-        probing = owner["core_part"] - other["core_part"]
+        probing_cores = owner["core_part"] - other["core_part"]
         return {
             "other": other,
             "owner": owner,
-            "us_a_probe": round(1e6 * probing / max(owner["probes_a_second"], 0.01), 1),
+            "us_a_probe": round(1e6 * probing_cores / max(owner["probes_a_second"], 0.01), 1),
         }
 
-    async def _idle(self, entry: EntryAddress, seconds: float) -> dict[str, Any]:
+    async def _idle_cost(self, entry: EntryAddress, seconds: float) -> dict[str, Any]:
         pid = self.site.process_by_name[entry.host].pid
         before = (await self.site.ask(entry.operators, "GET", "/v1/status"))["cost"]
         cpu = cpu_seconds(pid)
@@ -176,9 +181,9 @@
                 (after["store_reads"] - before["store_reads"]) / seconds, 3
             ),
             "probes_a_second": round((after["probes"] - before["probes"]) / seconds, 2),
-            "core_part_of_budget": round(used / seconds / SIZE_TO_COME["core_part"], 2),
-            "memory_of_budget": round(resident_mb(pid) / SIZE_TO_COME["resident_mb"], 2),
-            "bytes_of_budget": round(sent / SIZE_TO_COME["bytes_a_second"], 3),
+            "core_part_of_budget": round(used / seconds / CONTROL_BUDGET["core_part"], 2),
+            "memory_of_budget": round(resident_mb(pid) / CONTROL_BUDGET["resident_mb"], 2),
+            "bytes_of_budget": round(sent / CONTROL_BUDGET["bytes_a_second"], 3),
         }
 
 
@@ -187,7 +192,7 @@
     shape = Shape(
         ("hall", "hall", "hall"),
         {("hall", "fabric-a"): 4},
-        pace=PACE,
+        pace=TOKEN_INTERVAL,
         prefill=0.01,
         capacity=200,
         host_prefix="bench",
@@ -198,9 +203,9 @@
         await asyncio.sleep(3.0)
         tree = folder / "yard.json"
         tree.write_text(json.dumps(settings(site.service_addresses)))
-        done = site.command("settings", "put", "yard", str(tree))
-        if done.returncode:
-            raise RuntimeError(done.stderr)
+        finished = site.run_command("settings", "put", "yard", str(tree))
+        if finished.returncode:
+            raise RuntimeError(finished.stderr)
         await site.until_serving(4, 60)
         bench = Bench(site)
         return {
@@ -216,15 +221,15 @@
 def main(
     *, folder: str = "build/bench", program: str = "dist/oleanderhill", quick: bool = False
 ) -> None:
-    """Measure one entry host.
+    """Benchmark one entry host.
 
-    :param folder: where logs go
-    :param program: the shipped program
-    :param quick: a shorter run
+    :param folder: directory for logs
+    :param program: path of the oleanderhill program to run
+    :param quick: make shorter measurements
     """
     result = asyncio.run(run(Path(folder), [program], quick))
-    for part, figures in result.items():
-        print(f"bench: {part}: " + " ".join(f"{k}={v}" for k, v in figures.items()))
+    for section, figures in result.items():
+        print(f"bench: {section}: " + " ".join(f"{k}={v}" for k, v in figures.items()))
     print(f"bench: written to {write_result('bench', result)}")
 
 
--- a/dev/oleanderhill_dev/bench_site.py
+++ b/dev/oleanderhill_dev/bench_site.py
@@ -1,6 +1,7 @@
-"""A site of real processes on loopback: stand-ins and entry hosts, for the demo and the benchmarks.
+"""A site of real processes on loopback: stand-ins and entry hosts, for the demo and benchmarks.
 
-Every process is a child of the tool that builds the site, and is ended by id when it leaves.
+All processes are children of the tool that starts the site, which kills them by process id when it
+stops.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 from oleanderhill.settings.fleet import hash_of
 
 OPERATOR_KEY = "operator-key"
-_addresses = itertools.count()
+_address_numbers = itertools.count()
 MODEL_HOSTS = 4
-FIRST_NET, NETS = 20, 200
-"""Nets of loopback that :func:`free_address` uses; those below are the sites' own."""
+FIRST_NETWORK, NETWORK_COUNT = 20, 200
+"""Second octets of the loopback networks of :func:`free_address`; sites use those below."""
 
 
 class EntryAddress(NamedTuple):
@@ -39,11 +40,15 @@
 
 
 class Shape(NamedTuple):
-    """What a site consists of.
+    """Describes a site to start.
 
     :param entry_centres: data centre of each entry host
     :param domains: number of engine hosts by (data centre, domain)
-    :param net: second number of all loopback addresses, so that sites don't meet
+    :param pace: seconds between two tokens of a stream
+    :param prefill: seconds to the first token without a cached prefix
+    :param capacity: requests that an engine batches
+    :param lag: delay of the platform's host list, in seconds
+    :param net: second octet of all loopback addresses, which keeps concurrent sites apart
     """
 
     entry_centres: tuple[str, ...]
@@ -60,9 +65,9 @@
 
 
 class Site:
-    """Starts, faults and ends the processes.
+    """Starts the processes of a site, injects faults and kills the processes.
 
-    :param program: how to start an entry host, such as ``["dist/oleanderhill"]``
+    :param program: command line of the oleanderhill program, such as ``["dist/oleanderhill"]``
     """
 
     def __init__(self, shape: Shape, folder: Path, program: list[str]) -> None:
@@ -75,34 +80,34 @@
         self.service_addresses: list[str] = []
         self.caller = HttpCaller()
         self.platform = f"127.{shape.net}.0.1:18500"
-        self._rows: list[list[str]] = []
-        self._layout()
+        self._host_rows: list[list[str]] = []
+        self._assign_addresses()
 
-    def _layout(self) -> None:
-        for number, centre in enumerate(self.shape.entry_centres):
-            ip = f"127.{self.shape.net}.{10 + number}.1"
+    def _assign_addresses(self) -> None:
+        for index, data_centre in enumerate(self.shape.entry_centres):
+            ip = f"127.{self.shape.net}.{10 + index}.1"
             self.entries.append(
                 EntryAddress(
-                    f"entry-{number + 1}", centre, f"{ip}:7000", f"{ip}:7001", f"{ip}:7002"
+                    f"entry-{index + 1}", data_centre, f"{ip}:7000", f"{ip}:7001", f"{ip}:7002"
                 )
             )
         number = 0
-        for (centre, domain), count in self.shape.domains.items():
+        for (data_centre, domain), count in self.shape.domains.items():
             for _ in range(count):
                 number += 1
                 name = f"{self.shape.host_prefix}-{number:03d}"
                 address = f"127.{self.shape.net}.{100 + number // 200}.{1 + number % 200}:9000"
                 self.address_by_engine[name] = address
-                self._rows.append([name, address, domain, centre, "live"])
+                self._host_rows.append([name, address, domain, data_centre, "live"])
         self.service_addresses = [
             f"127.{self.shape.net}.90.{n + 1}:9100" for n in range(self.shape.services)
         ]
 
     def start(self) -> None:
-        """Start everything."""
+        """Start the stand-ins, then the entry hosts."""
         self.folder.mkdir(parents=True, exist_ok=True)
         hosts = self.folder / "hosts.json"
-        hosts.write_text(json.dumps(self._rows))
+        hosts.write_text(json.dumps(self._host_rows))
         self.spawn_dev(
             "platform", "platform_standin", self.platform, str(hosts), "--lag", str(self.shape.lag)
         )
@@ -137,7 +142,7 @@
 
     def start_entry(self, entry: EntryAddress) -> None:
         """Start one entry host."""
-        self._spawn(entry.host, [*self.program, "entry", self.write_boot(entry)])
+        self._start_process(entry.host, [*self.program, "entry", self.write_boot(entry)])
 
     def write_boot(self, entry: EntryAddress) -> str:
         """Write the boot file of an entry host and return its path."""
@@ -159,7 +164,7 @@
         return str(path)
 
     def end(self) -> None:
-        """End all processes."""
+        """Kill all processes and wait for them, including stopped ones."""
         for process in self.process_by_name.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -169,7 +174,7 @@
         self.process_by_name.clear()
 
     def kill(self, name: str) -> None:
-        """Kill one process, as a host that dies."""
+        """Kill one process, which simulates the crash of a host."""
         process = self.process_by_name.pop(name)
         process.kill()
         process.wait()
@@ -179,56 +184,59 @@
         self.process_by_name[name].send_signal(number)
 
     def operators(self) -> str:
-        """Return the operator addresses, as ``--at`` takes them."""
+        """Return the operator addresses in the form that ``--at`` expects."""
         return ",".join(e.operators for e in self.entries)
 
-    def command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command line as an operator."""
+    def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
+        """Run a subcommand of the program with the operator's key."""
         env = self._environment(OLEANDERHILL_KEY=OPERATOR_KEY, OLEANDERHILL_AT=self.operators())
         return subprocess.run(
             [*self.program, *arguments], env=env, capture_output=True, text=True, timeout=60
         )
 
     async def ask(self, address: str, method: str, path: str, body: bytes = b"") -> Any:
-        """Make a call and return its JSON, ``None`` where it fails."""
+        """Make a call and return its decoded JSON, or ``None`` if it fails or the body is empty."""
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         result = await self.caller.call(Call(address, method, path, headers, body, timeout=5.0))
         reply = result.value_or(None)
         return None if reply is None or not reply.body else json.loads(reply.body)
 
     async def until_serving(self, groups: int, seconds: float, entries: int = 0) -> float:
-        """Wait until every entry host sees this many groups serving; return how long it took."""
+        """Wait until every entry host sends to this many groups; return the seconds waited.
+
+        :param entries: number of entry hosts to ask, 0 for all; those without a process are skipped
+        """
         began = time.monotonic()
         asked = self.entries[: entries or len(self.entries)]
         while time.monotonic() - began < seconds:
-            serving = [await self.serving(e) for e in asked if e.host in self.process_by_name]
-            if serving and min(serving) >= groups:
+            counts = [await self.count_serving(e) for e in asked if e.host in self.process_by_name]
+            if counts and min(counts) >= groups:
                 return time.monotonic() - began
             await asyncio.sleep(0.2)
-        raise TimeoutError(f"{groups} groups did not serve within {seconds} s")
+        raise TimeoutError(f"fewer than {groups} groups were serving after {seconds} s")
 
-    async def serving(self, entry: EntryAddress) -> int:
-        """Return how many groups an entry host sends to, -1 if it can't be asked."""
+    async def count_serving(self, entry: EntryAddress) -> int:
+        """Return how many groups an entry host sends requests to, -1 if it does not answer."""
         status = await self.ask(entry.operators, "GET", "/v1/status")
         if status is None:
             return -1
         return sum(1 for g in status["groups"] if g["takes_requests"])
 
     def records(self, pattern: str) -> list[dict[str, Any]]:
-        """Return the rows that stand-ins recorded."""
+        """Return the rows of all record files of stand-ins whose name matches a glob pattern."""
         rows = []
         for path in sorted(self.folder.glob(pattern)):
             rows += [json.loads(line) for line in path.read_text().splitlines()]
         return rows
 
-    def _environment(self, **more: str) -> dict[str, str]:
-        return {**os.environ, "SHIV_ROOT": str(self.folder.resolve().parent / "shiv"), **more}
+    def _environment(self, **variables: str) -> dict[str, str]:
+        return {**os.environ, "SHIV_ROOT": str(self.folder.resolve().parent / "shiv"), **variables}
 
     def spawn_dev(self, name: str, module: str, *arguments: str) -> None:
-        """Start a development module as a process."""
-        self._spawn(name, [sys.executable, "-m", f"oleanderhill_dev.{module}", *arguments])
+        """Start a module of the development tools as a process."""
+        self._start_process(name, [sys.executable, "-m", f"oleanderhill_dev.{module}", *arguments])
 
-    def _spawn(self, name: str, command: list[str]) -> None:
+    def _start_process(self, name: str, command: list[str]) -> None:
         root = Path(__file__).resolve().parents[1]
         env = self._environment(PYTHONPATH=str(root), PYTHONUNBUFFERED="1")
         with open(self.folder / f"{name}.out", "ab") as out:
@@ -236,15 +244,15 @@
 
 
 def free_address() -> str:
-    """Return a loopback address that nothing else uses.
+    """Return a loopback address that no other caller of this function gets.
 
-    Each call gives another IP number of a net of its own, and each process has another net, so
-    that two test runs side by side don't meet. A free port of 127.0.0.1 would not do: an outgoing
-    connection of any process may take it before it is listened on.
+    Each call returns another IP address, and the network depends on the process id, so concurrent
+    test runs do not collide. A free port of 127.0.0.1 is not safe: an outgoing connection of any
+    process may take it before the caller listens on it.
     """
-    number = next(_addresses)
-    net = FIRST_NET + os.getpid() % NETS
-    return f"127.{net}.{number // 250}.{1 + number % 250}:7100"
+    number = next(_address_numbers)
+    network = FIRST_NETWORK + os.getpid() % NETWORK_COUNT
+    return f"127.{network}.{number // 250}.{1 + number % 250}:7100"
 
 
 def new_key() -> str:
--- a/dev/oleanderhill_dev/engine_farm.py
+++ b/dev/oleanderhill_dev/engine_farm.py
@@ -1,4 +1,4 @@
-"""Many engine stand-ins in one process, for load: each has an address of its own."""
+"""Runs many engine stand-ins in one process for load tests, each at its own address."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 from .engine_standin import Engine, make_application
 
-PREFIXES_OF_AN_ENGINE = 8
+PREFIX_CACHE_SIZE = 8
 
 
 def run(engines: str, *, pace: float = 0.02, prefill: float = 0.15, capacity: int = 4) -> None:
-    """Run engines.
+    """Run engine stand-ins.
 
-    :param engines: JSON object of address by host name
+    :param engines: JSON object that maps host names to addresses (ip:port)
     :param pace: seconds between tokens
     :param prefill: seconds to the first token without a cached prefix
-    :param capacity: requests batched at once
+    :param capacity: requests that an engine batches
     """
 
     async def serve() -> None:
-        checks = []
+        member_checks = []
         for host, address in json.loads(engines).items():
             engine = Engine(host, True, pace, prefill, capacity, 100.0, "")
-            engine.prefix_limit = PREFIXES_OF_AN_ENGINE
+            engine.prefix_limit = PREFIX_CACHE_SIZE
             ip, port = address.rsplit(":", 1)
             make_application(engine).listen(int(port), ip)
-            checks.append(engine.check_members())
-        await asyncio.gather(*checks)
+            member_checks.append(engine.check_members())
+        await asyncio.gather(*member_checks)
 
     asyncio.run(serve())
 
--- a/dev/oleanderhill_dev/engine_standin.py
+++ b/dev/oleanderhill_dev/engine_standin.py
@@ -1,9 +1,10 @@
-"""Stand-in for one model engine on one host, with what the brief says engines do.
+"""Stand-in for one model engine on one host.
 
-It batches, streams tokens at a set pace, caches prompt prefixes in limited memory, honours
-priorities, resumes and cancels streams, reports load with a lag, takes orders, and checks or
-ignores fencing numbers. Rank 0 serves; it stalls while a member of its group does not answer, as a
-real replica would. Faults are set by ``POST /faults``.
+It batches requests, streams tokens at a fixed rate, caches a limited number of prompt prefixes,
+starts waiting requests by priority, resumes and cancels streams, reports its load with a delay,
+executes load and unload orders, and checks or ignores their fencing tokens. Rank 0 serves requests;
+like a real replica, it stalls while another member of its group does not answer. Faults are set by
+``POST /faults``.
 """
 
 from __future__ import annotations
@@ -24,16 +25,21 @@
 from oleanderhill.clients.httpcall import Call, HttpCaller
 
 DEFAULT_TOKENS = 20
-MEMBER_CHECK = 0.2
-PREFIX_CACHE = 64
+MEMBER_CHECK_INTERVAL = 0.2
+"""Seconds between two checks of the group's members."""
+
+PREFIX_CACHE_SIZE = 64
 
 
 class Engine:
     """State of one engine.
 
+    :param fencing: whether orders with an old fencing token are rejected
     :param pace: seconds between tokens
     :param prefill: seconds to the first token without a cached prefix
-    :param gigabytes_per_second: speed of loading weights
+    :param capacity: requests that the engine batches
+    :param gigabytes_per_second: rate at which weights are loaded
+    :param record: path of the file to which events are appended, empty for none
     """
 
     def __init__(
@@ -52,7 +58,7 @@
         self.pace = pace
         self.prefill = prefill
         self.capacity = capacity
-        self.speed = gigabytes_per_second
+        self.gigabytes_per_second = gigabytes_per_second
         self.record = record
         self.fence = [0, 0]
         self.clear()
@@ -68,22 +74,23 @@
             "silent": False,
             "padding": 0,
         }
-        self.shown: tuple[float, int, int] = (0.0, 0, 0)
+        self.reported_load: tuple[float, int, int] = (0.0, 0, 0)
+        """When the reported load was sampled, and the running and waiting requests then."""
         self.loads = 0
-        self.prefix_limit = PREFIX_CACHE
+        self.prefix_limit = PREFIX_CACHE_SIZE
         self.tokens = 0
 
     def clear(self) -> None:
-        """Hold nothing."""
+        """Drop the weights and the group membership."""
         self.group, self.epoch, self.rank, self.state = "", 0, 0, "empty"
         self.members: list[dict[str, str]] = []
         self.version = ""
 
     def report(self) -> dict[str, Any]:
-        """Return the report; its load lags by half a second."""
+        """Return the engine's report, whose load figures are sampled at most every half second."""
         now = time.monotonic()
-        if now - self.shown[0] > 0.5:
-            self.shown = (now, len(self.running), len(self.waiting))
+        if now - self.reported_load[0] > 0.5:
+            self.reported_load = (now, len(self.running), len(self.waiting))
         return {
             "host": self.host,
             "boot_id": self.boot_id,
@@ -92,13 +99,13 @@
             "rank": self.rank,
             "state": self.state,
             "leaving": self.leaving,
-            "running": self.shown[1],
-            "waiting": self.shown[2],
+            "running": self.reported_load[1],
+            "waiting": self.reported_load[2],
             "capacity": self.capacity,
         }
 
-    def note(self, event: str, run: str, **more: Any) -> None:
-        """Append to the engine's own record of what it ran."""
+    def record_event(self, event: str, run: str, **more: Any) -> None:
+        """Append an event of a run to the record file."""
         if self.record:
             with open(self.record, "a", encoding="utf-8") as file:
                 file.write(
@@ -106,21 +113,23 @@
                 )
 
     async def load(self, order: dict[str, Any]) -> None:
-        """Load a model part, or only take the new membership where the weights are there."""
-        keeps = self.state == "ready" and self.group == order["group"]
+        """Load a part of a model; a ready member of the same group keeps its weights."""
+        has_weights = self.state == "ready" and self.group == order["group"]
         self.group, self.epoch, self.rank = order["group"], order["epoch"], order["rank"]
         self.members, self.version = order["members"], order["version"]
         epoch, self.state = self.epoch, "loading"
         self.loads += 1
-        await asyncio.sleep(0.1 if keeps else 0.1 + order["weights_gb"] / self.speed)
+        await asyncio.sleep(
+            0.1 if has_weights else 0.1 + order["weights_gb"] / self.gigabytes_per_second
+        )
         if self.state == "loading" and self.epoch == epoch:
             self.state = "ready"
 
     async def check_members(self) -> None:
-        """Notice whether the other members are there; a head without them stalls."""
+        """Check periodically that the other members belong to the group; rank 0 stalls if not."""
         caller = HttpCaller()
         while True:
-            await asyncio.sleep(MEMBER_CHECK)
+            await asyncio.sleep(MEMBER_CHECK_INTERVAL)
             if self.rank != 0 or self.state != "ready":
                 self.members_ok = True
                 continue
@@ -129,61 +138,61 @@
                 for m in self.members[1:]
             ]
             results = await asyncio.gather(*calls)
-            self.members_ok = all(self._belongs(r) for r in results)
+            self.members_ok = all(self._reports_same_group(r) for r in results)
 
-    def _belongs(self, result: Any) -> bool:
+    def _reports_same_group(self, result: Any) -> bool:
         reply = result.value_or(None)
         if reply is None:
             return False
         report = json.loads(reply.body)
         return report["group"] == self.group and report["epoch"] == self.epoch
 
-    async def enter(self, run: str, priority: int) -> asyncio.Event:
-        """Wait for a place in the batch; higher priority first."""
+    async def acquire_slot(self, run: str, priority: int) -> asyncio.Event:
+        """Wait for a slot in the batch, by priority, and return the event that cancels the run."""
         cancelled = asyncio.Event()
         if len(self.running) >= self.capacity:
-            turn = asyncio.Event()
-            entry = (-priority, time.monotonic(), turn)
+            slot_free = asyncio.Event()
+            entry = (-priority, time.monotonic(), slot_free)
             self.waiting.append(entry)
             self.waiting.sort(key=lambda w: w[:2])
             try:
-                await turn.wait()
+                await slot_free.wait()
             finally:
                 if entry in self.waiting:
                     self.waiting.remove(entry)
         self.running[run] = cancelled
         return cancelled
 
-    def leave(self, run: str) -> None:
-        """Give the place in the batch to the next."""
+    def release_slot(self, run: str) -> None:
+        """Release the slot of a run and give it to the next waiting request."""
         self.running.pop(run, None)
         if self.waiting and len(self.running) < self.capacity:
             self.waiting.pop(0)[2].set()
 
     def prefill_time(self, prompt: str) -> float:
-        """Return the time to the first token; a cached prefix makes it short."""
+        """Return the seconds to the first token, fewer if the prompt's prefix is cached."""
         prefix = hashlib.sha256(prompt[:256].encode()).hexdigest()
-        hit = prefix in self.prefixes
+        is_cached = prefix in self.prefixes
         self.prefixes[prefix] = None
         self.prefixes.move_to_end(prefix)
         if len(self.prefixes) > self.prefix_limit:
             self.prefixes.popitem(last=False)
-        return self.prefill * (0.2 if hit else 1.0)
+        return self.prefill * (0.2 if is_cached else 1.0)
 
     async def step(self, seconds: float, cancelled: asyncio.Event) -> None:
-        """Spend the time of one step; stall while the replica is not whole."""
+        """Wait for the time of one step, and longer while the replica is stalled or incomplete."""
         await asyncio.sleep(seconds * self.faults["slow"])
         while (self.faults["stall"] or not self.members_ok) and not cancelled.is_set():
             await asyncio.sleep(0.02)
 
 
 def token(prompt: str, number: int) -> str:
-    """Return the token at an offset: it depends on the prompt alone, so that tests can check it."""
+    """Return the token at an offset, derived from the prompt so that tests can verify answers."""
     return hashlib.sha256(f"{prompt}|{number}".encode()).hexdigest()[:6]
 
 
 def answer(prompt: str, count: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the complete answer to a prompt."""
     return " ".join(token(prompt, n) for n in range(count))
 
 
@@ -226,22 +235,26 @@
         engine = self.engine
         run = self.request.headers.get("X-Oleanderhill-Run", secrets.token_hex(6))
         self.set_header("X-Oleanderhill-Run", run)
-        wanted = self.request.headers.get("X-Oleanderhill-Group", "")
-        held = f"{engine.group}@{engine.epoch}"
-        if engine.state != "ready" or engine.rank != 0 or (wanted and wanted != held):
+        expected_group = self.request.headers.get("X-Oleanderhill-Group", "")
+        own_group = f"{engine.group}@{engine.epoch}"
+        if (
+            engine.state != "ready"
+            or engine.rank != 0
+            or (expected_group and expected_group != own_group)
+        ):
             self.set_status(409)
             self.set_header("X-Not-Started", "wrong-group")
-            self.finish({"error": {"type": "wrong_group", "message": held}})
+            self.finish({"error": {"type": "wrong_group", "message": own_group}})
             return
         self._closed = asyncio.Event()
         body = json.loads(self.request.body)
-        cancelled = await engine.enter(run, int(self.request.headers.get("X-Priority", "0")))
+        cancelled = await engine.acquire_slot(run, int(self.request.headers.get("X-Priority", "0")))
         try:
             await self._generate(run, body, cancelled)
         except StreamClosedError:
-            engine.note("cut", run)
+            engine.record_event("cut", run)
         finally:
-            engine.leave(run)
+            engine.release_slot(run)
 
     def on_connection_close(self) -> None:
         for run, cancelled in self.engine.running.items():
@@ -253,14 +266,14 @@
         prompt = body["messages"][-1]["content"] if body["messages"] else ""
         count = int(body.get("max_tokens", DEFAULT_TOKENS))
         start = int(self.request.headers.get("X-Resume-From", "0"))
-        engine.note("start", run, group=f"{engine.group}@{engine.epoch}", offset=start)
+        engine.record_event("start", run, group=f"{engine.group}@{engine.epoch}", offset=start)
         await engine.step(engine.prefill_time(prompt), cancelled)
         stream = body.get("stream") is True
         if stream:
             self.set_header("Content-Type", "text/event-stream")
         for number in range(start, count):
             if cancelled.is_set():
-                engine.note("cancelled", run, offset=number)
+                engine.record_event("cancelled", run, offset=number)
                 return
             if engine.faults["cut_after"] and number - start >= engine.faults["cut_after"]:
                 self.detach().close()
@@ -270,7 +283,7 @@
                 self.write(_event(run, number, token(prompt, number), engine.faults["padding"]))
                 await self.flush()
             await engine.step(engine.pace, cancelled)
-        engine.note("end", run)
+        engine.record_event("end", run)
         if stream:
             self.finish(b"data: [DONE]\n\n")
             return
@@ -298,7 +311,7 @@
 
 
 class FaultsHandler(_Handler):
-    """``/faults``; ``reboot`` gives the engine a new boot id and an empty memory."""
+    """``/faults``: sets faults; ``reboot`` changes the boot id and drops weights and membership."""
 
     def post(self) -> None:
         change = json.loads(self.request.body)
@@ -339,14 +352,14 @@
 ) -> None:
     """Run one engine stand-in.
 
-    :param host: its name
+    :param host: name of the host
     :param address: ip:port to listen on
-    :param fencing: refuse orders with an old fencing number
+    :param fencing: reject orders with an old fencing token
     :param pace: seconds between tokens
-    :param prefill: seconds to the first token
-    :param capacity: requests batched at once
-    :param gigabytes_per_second: speed of loading weights
-    :param record: file to which runs are appended
+    :param prefill: seconds to the first token without a cached prefix
+    :param capacity: requests that the engine batches
+    :param gigabytes_per_second: rate at which weights are loaded
+    :param record: file to which events of runs are appended
     """
 
     async def serve() -> None:
--- a/dev/oleanderhill_dev/load.py
+++ b/dev/oleanderhill_dev/load.py
@@ -1,7 +1,8 @@
-"""``make load``: open-loop load through real entry hosts, ours against baselines in the same run.
+"""``make load``: open-loop load through real entry hosts, compared with baseline policies.
 
-Requests arrive by a Poisson process and are timed from their scheduled arrival, so a slow answer
-does not hide those that should have come meanwhile. All policies get the same arrivals.
+Requests arrive as a Poisson process, and latency counts from the scheduled arrival, so that a slow
+response does not hide the delay of the requests after it (coordinated omission). All policies get
+the same arrivals in the same run.
 """
 
 from __future__ import annotations
@@ -20,25 +21,28 @@
 from oleanderhill.settings.fleet import hash_of
 
 from .bench_site import Shape, Site
-from .measuring import RESULTS, histogram, milliseconds, record, write_result
+from .measuring import RESULTS_FOLDER, histogram, milliseconds, record, write_result
 
-CENTRES = ("intake-hall", "strip-hall", "bale-yard")
+DATA_CENTRES = ("intake-hall", "strip-hall", "bale-yard")
 REPLICAS = 18
-FARMS = 3
+FARM_COUNT = 3
 CAPACITY = 4
-PACE = 0.02
+TOKEN_INTERVAL = 0.02
 PREFILL = 0.15
 MEAN_TOKENS = 20
-DEADLINE = 8.0
-PEAK = REPLICAS * CAPACITY / (PREFILL + PACE * MEAN_TOKENS)
-"""Requests a second at which every place of every batch is taken, without cached prefixes."""
+REQUEST_TIMEOUT = 8.0
+PEAK = REPLICAS * CAPACITY / (PREFILL + TOKEN_INTERVAL * MEAN_TOKENS)
+"""Requests per second that fill every batch of every replica, without cached prefixes."""
 
 SMALL, LARGE = 8, 2
 POLICIES = ("ours", "random", "round robin", "least in flight", "reported load")
 
 
 class Arrival(NamedTuple):
-    """One request of the schedule."""
+    """One request of the schedule.
+
+    :param at: seconds after the start of the scenario
+    """
 
     at: float
     account: str
@@ -47,21 +51,23 @@
 
 
 class Scenario(NamedTuple):
-    """A load and what befalls it.
+    """A load and the fault injected under it.
 
-    :param load: part of the peak
-    :param greedy: part of the requests that one small account makes
+    :param load: arrival rate as a fraction of the peak
+    :param inject_fault: injects the fault before the load starts
+    :param clear_fault: clears the fault after the load
+    :param greedy_share: share of the requests moved from all accounts to the last small account
     """
 
     name: str
     load: float
-    strike: Callable[[LoadSite], Awaitable[None]] | None = None
-    heal: Callable[[LoadSite], Awaitable[None]] | None = None
-    greedy: float = 0.0
+    inject_fault: Callable[[LoadSite], Awaitable[None]] | None = None
+    clear_fault: Callable[[LoadSite], Awaitable[None]] | None = None
+    greedy_share: float = 0.0
 
 
 class Measured(NamedTuple):
-    """What a run came to."""
+    """Results of one scenario; the field names are the keys of the result file."""
 
     sent: int
     whole: int
@@ -76,49 +82,49 @@
     small_in_time: float
 
 
-class _Watch(Observer):
+class _StreamObserver(Observer):
     def __init__(self) -> None:
-        self.first_at = 0.0
+        self.first_event_at = 0.0
         self.done = False
 
     def data(self, chunk: bytes) -> None:
-        if not self.first_at:
-            self.first_at = time.monotonic()
+        if not self.first_event_at:
+            self.first_event_at = time.monotonic()
         self.done = self.done or b"[DONE]" in chunk
 
 
 class LoadSite(Site):
-    """A site whose engines live in a few processes."""
+    """A site whose engines share a few processes and whose entry hosts use a given policy."""
 
     policy = "ours"
 
     def start_engine(self, name: str) -> None:
-        """Start the farms with the first engine."""
+        """Start the processes of all engines when the first engine is started."""
         if "farm-0" in self.process_by_name:
             return
         names = list(self.address_by_engine)
-        for number in range(FARMS):
-            mine = {n: self.address_by_engine[n] for n in names[number::FARMS]}
-            self.spawn_dev(f"farm-{number}", "engine_farm", json.dumps(mine))
+        for number in range(FARM_COUNT):
+            engines = {n: self.address_by_engine[n] for n in names[number::FARM_COUNT]}
+            self.spawn_dev(f"farm-{number}", "engine_farm", json.dumps(engines))
 
     def start_entry(self, entry: Any) -> None:
         """Start an entry host with the policy under test."""
         path = self.write_boot(entry)
         self.spawn_dev(entry.host, "policy_entry", path, "--policy", self.policy)
 
-    async def fault(self, number: int, **change: Any) -> None:
-        """Set a fault at one engine."""
+    async def set_fault(self, number: int, **change: Any) -> None:
+        """Set faults of the engine with this index."""
         address = list(self.address_by_engine.values())[number]
         await self.ask(address, "POST", "/faults", json.dumps(change).encode())
 
 
 def accounts() -> list[str]:
-    """Return the accounts: a few large, many small."""
+    """Return the account names: a few large accounts, then many small ones."""
     return [f"large-{n}" for n in range(LARGE)] + [f"small-{n}" for n in range(SMALL)]
 
 
 def settings() -> dict[str, Any]:
-    """Return the team's subtree. Small accounts are limited to a fifth of the peak each."""
+    """Return the team's subtree, which limits each small account to a fifth of the peak rate."""
     return {
         "models": {"m": {"versions": {"v1": {"weights_gb": 1.0}}}},
         "groups": {
@@ -126,7 +132,7 @@
                 "model": "m",
                 "version": "v1",
                 "hosts": 1,
-                "replicas": {c: REPLICAS // len(CENTRES) for c in CENTRES},
+                "replicas": {c: REPLICAS // len(DATA_CENTRES) for c in DATA_CENTRES},
             }
         },
         "accounts": {
@@ -141,30 +147,30 @@
 
 
 def arrivals(seed: int, seconds: float, scenario: Scenario) -> list[Arrival]:
-    """Return the schedule of a scenario; the same for every policy."""
+    """Return the schedule of a scenario, which is the same for every policy."""
     rng = numpy.random.default_rng(seed)
     names = accounts()
-    parts = numpy.array([0.3] * LARGE + [0.4 / SMALL] * SMALL) * (1.0 - scenario.greedy)
-    parts[-1] += scenario.greedy
-    found: list[Arrival] = []
+    shares = numpy.array([0.3] * LARGE + [0.4 / SMALL] * SMALL) * (1.0 - scenario.greedy_share)
+    shares[-1] += scenario.greedy_share
+    schedule: list[Arrival] = []
     now = 0.0
     while True:
         now += rng.exponential(1.0 / (scenario.load * PEAK))
         if now > seconds:
-            return found
+            return schedule
         prefix = f"prompt {int(rng.zipf(1.5)) % 60} ".ljust(256, ".")
         tokens = int(min(100, max(2, rng.geometric(1.0 / MEAN_TOKENS))))
-        found.append(Arrival(now, str(rng.choice(names, p=parts)), prefix, tokens))
+        schedule.append(Arrival(now, str(rng.choice(names, p=shares)), prefix, tokens))
 
 
 async def drive(site: LoadSite, schedule: list[Arrival]) -> Measured:
-    """Send a schedule and measure what comes of it."""
-    first, whole = histogram(), histogram()
+    """Send the requests of a schedule and return the results."""
+    first_event, complete = histogram(), histogram()
     counts = {"whole": 0, "in_time": 0, "refused": 0, "cut": 0, "small": 0, "small_in_time": 0}
     caller = HttpCaller()
     began = time.monotonic()
 
-    async def one(number: int, arrival: Arrival) -> None:
+    async def send(number: int, arrival: Arrival) -> None:
         await asyncio.sleep(max(0.0, began + arrival.at - time.monotonic()))
         entry = site.entries[number % len(site.entries)]
         body = {
@@ -175,27 +181,28 @@
         }
         headers = {
             "Authorization": f"Bearer {arrival.account}",
-            "X-Request-Timeout": str(DEADLINE),
+            "X-Request-Timeout": str(REQUEST_TIMEOUT),
         }
         path = "/v1/chat/completions"
         call = Call(entry.callers, "POST", path, headers, json.dumps(body).encode(), 30.0)
-        watch = _Watch()
-        reply = (await caller.call(call, watch)).value_or(None)
+        observer = _StreamObserver()
+        reply = (await caller.call(call, observer)).value_or(None)
         took = time.monotonic() - (began + arrival.at)
+        # The last small account may be the greedy one, so it is not counted among the others.
         small = arrival.account.startswith("small") and arrival.account != accounts()[-1]
         counts["small"] += small
-        if watch.done:
+        if observer.done:
             counts["whole"] += 1
-            record(first, watch.first_at - (began + arrival.at))
-            record(whole, took)
-            counts["in_time"] += took <= DEADLINE
-            counts["small_in_time"] += small and took <= DEADLINE
+            record(first_event, observer.first_event_at - (began + arrival.at))
+            record(complete, took)
+            counts["in_time"] += took <= REQUEST_TIMEOUT
+            counts["small_in_time"] += small and took <= REQUEST_TIMEOUT
         elif reply is not None and reply.status in (429, 503):
             counts["refused"] += 1
         else:
             counts["cut"] += 1
 
-    await asyncio.gather(*(one(n, a) for n, a in enumerate(schedule)))
+    await asyncio.gather(*(send(n, a) for n, a in enumerate(schedule)))
     took = time.monotonic() - began
     return Measured(
         len(schedule),
@@ -203,45 +210,45 @@
         counts["in_time"],
         counts["refused"],
         counts["cut"],
-        milliseconds(first, 50),
-        milliseconds(first, 99),
-        milliseconds(whole, 50),
-        milliseconds(whole, 99),
+        milliseconds(first_event, 50),
+        milliseconds(first_event, 99),
+        milliseconds(complete, 50),
+        milliseconds(complete, 99),
         round(counts["in_time"] / took, 2),
         round(counts["small_in_time"] / max(1, counts["small"]), 3),
     )
 
 
-async def _straggle(site: LoadSite) -> None:
-    await site.fault(0, slow=8.0)
+async def _slow_engine(site: LoadSite) -> None:
+    await site.set_fault(0, slow=8.0)
 
 
-async def _no_straggle(site: LoadSite) -> None:
-    await site.fault(0, slow=1.0)
+async def _restore_speed(site: LoadSite) -> None:
+    await site.set_fault(0, slow=1.0)
 
 
-async def _silence(site: LoadSite) -> None:
-    await site.fault(1, silent=True, stall=True)
+async def _hang_engine(site: LoadSite) -> None:
+    await site.set_fault(1, silent=True, stall=True)
 
 
-async def _no_silence(site: LoadSite) -> None:
-    await site.fault(1, silent=False, stall=False)
+async def _resume_engine(site: LoadSite) -> None:
+    await site.set_fault(1, silent=False, stall=False)
 
 
-async def _store_out(site: LoadSite) -> None:
+async def _stop_store(site: LoadSite) -> None:
     await site.ask(site.platform, "POST", "/faults", b'{"down": true}')
 
 
-async def _store_back(site: LoadSite) -> None:
+async def _restore_store(site: LoadSite) -> None:
     await site.ask(site.platform, "POST", "/faults", b'{"down": false}')
 
 
 SCENARIOS = (
     Scenario("peace", 0.6),
-    Scenario("straggler", 0.6, _straggle, _no_straggle),
-    Scenario("dead replica", 0.6, _silence, _no_silence),
-    Scenario("store outage", 0.6, _store_out, _store_back),
-    Scenario("greedy account", 0.9, greedy=0.5),
+    Scenario("straggler", 0.6, _slow_engine, _restore_speed),
+    Scenario("dead replica", 0.6, _hang_engine, _resume_engine),
+    Scenario("store outage", 0.6, _stop_store, _restore_store),
+    Scenario("greedy account", 0.9, greedy_share=0.5),
     Scenario("twice the load", 2.0),
 )
 
@@ -249,15 +256,15 @@
 async def run_policy(folder: Path, policy: str, seconds: float) -> dict[str, Measured]:
     """Run all scenarios against one policy."""
     shape = Shape(
-        tuple(c for c in CENTRES for _ in range(2)),
-        {(c, f"fabric-{c}"): REPLICAS // len(CENTRES) for c in CENTRES},
+        tuple(c for c in DATA_CENTRES for _ in range(2)),
+        {(c, f"fabric-{c}"): REPLICAS // len(DATA_CENTRES) for c in DATA_CENTRES},
         services=0,
         host_prefix="load",
         net=9,
     )
     site = LoadSite(shape, folder, [])
     site.policy = policy
-    found = {}
+    results = {}
     try:
         site.start()
         await asyncio.sleep(3.0)
@@ -265,19 +272,19 @@
         await site.ask(site.entries[0].operators, "PUT", "/v1/settings/yard", body)
         await site.until_serving(REPLICAS, 60)
         for number, scenario in enumerate(SCENARIOS):
-            if scenario.strike is not None:
-                await scenario.strike(site)
-            found[scenario.name] = await drive(site, arrivals(number, seconds, scenario))
-            if scenario.heal is not None:
-                await scenario.heal(site)
+            if scenario.inject_fault is not None:
+                await scenario.inject_fault(site)
+            results[scenario.name] = await drive(site, arrivals(number, seconds, scenario))
+            if scenario.clear_fault is not None:
+                await scenario.clear_fault(site)
             await site.until_serving(REPLICAS, 60)
     finally:
         site.end()
-    return found
+    return results
 
 
-def show(results: dict[str, dict[str, Measured]]) -> str:
-    """Return the results as ratios to ours."""
+def format_results(results: dict[str, dict[str, Measured]]) -> str:
+    """Return the results as text, with ratios to oleanderhill's own policy."""
     lines = []
     for scenario in SCENARIOS:
         ours = results["ours"][scenario.name]
@@ -293,7 +300,7 @@
     return "\n".join(lines)
 
 
-HEAD = f"""# Load, measured
+PAGE_HEADER = f"""# Load, measured
 
 Made by `make load` (`--write-page` writes this page from its last result). Six entry hosts in three
 data centres on one machine, {REPLICAS} replicas (of one host each, to fit it) with batches of
@@ -304,9 +311,9 @@
 """
 
 
-def page(policies: dict[str, dict[str, dict[str, float]]]) -> str:
-    """Return the results as a page, as ratios to ours."""
-    lines = [HEAD]
+def format_page(policies: dict[str, dict[str, dict[str, float]]]) -> str:
+    """Return the results as a Markdown page, with ratios to oleanderhill's own policy."""
+    lines = [PAGE_HEADER]
     for scenario in SCENARIOS:
         ours = policies["ours"][scenario.name]
         lines.append(f"## {scenario.name}, {scenario.load:g} of the peak\n")
@@ -333,22 +340,22 @@
     policies: str = "",
     write_page: bool = False,
 ) -> None:
-    """Drive the Tema shape, reduced to replicas of one host, against baselines.
+    """Compare oleanderhill's policy with baselines under load, with replicas of one host.
 
-    :param seconds: length of each scenario
-    :param folder: where logs go
-    :param policies: only these, separated by commas
+    :param seconds: duration of each scenario
+    :param folder: directory for logs
+    :param policies: policies to run, separated by commas; all by default
     :param write_page: only write docs/LOAD.md from the last result
     """
     if write_page:
-        kept = json.loads((RESULTS / "load.json").read_text())
-        Path("docs/LOAD.md").write_text(page(kept["policies"]))
+        result = json.loads((RESULTS_FOLDER / "load.json").read_text())
+        Path("docs/LOAD.md").write_text(format_page(result["policies"]))
         return
     chosen = [p for p in POLICIES if not policies or p in policies.split(",")]
     results = {
         p: asyncio.run(run_policy(Path(folder) / p.replace(" ", "-"), p, seconds)) for p in chosen
     }
-    print(show(results))
+    print(format_results(results))
     rows = {p: {s: m._asdict() for s, m in r.items()} for p, r in results.items()}
     print(f"load: written to {write_result('load', {'peak': PEAK, 'policies': rows})}")
 
--- a/dev/oleanderhill_dev/package.py
+++ b/dev/oleanderhill_dev/package.py
@@ -1,4 +1,4 @@
-"""Collects the dependencies that ``make dist`` ships beside the package, no development tools."""
+"""Collects the dependencies that ``make dist`` bundles, without development tools."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from packaging.requirements import Requirement
 
 
-def needed(name: str) -> set[str]:
-    """Return a distribution and all that it needs on this machine."""
-    found: set[str] = set()
+def distributions_of(name: str) -> set[str]:
+    """Return a distribution and its transitive dependencies for this environment."""
+    names: set[str] = set()
     queue = [name]
     while queue:
         current = queue.pop()
-        if current in found:
+        if current in names:
             continue
-        found.add(current)
+        names.add(current)
         for text in metadata.requires(current) or []:
             requirement = Requirement(text)
             if requirement.marker is None or requirement.marker.evaluate({"extra": ""}):
                 queue.append(requirement.name)
-    return found
+    return names
 
 
 def collect(folder: str) -> None:
-    """Copy the dependencies of the package.
+    """Copy the installed files of the package's dependencies.
 
-    :param folder: where to
+    :param folder: directory to copy to
     """
-    target = Path(folder)
-    for name in sorted(needed("oleanderhill") - {"oleanderhill", "setuptools"}):
+    destination = Path(folder)
+    for name in sorted(distributions_of("oleanderhill") - {"oleanderhill", "setuptools"}):
         for file in metadata.files(name) or []:
             source = Path(str(file.locate()))
             if ".." in file.parts or "__pycache__" in file.parts or not source.is_file():
                 continue
-            (target / file).parent.mkdir(parents=True, exist_ok=True)
-            shutil.copy2(source, target / file)
-    print(f"package: {sum(1 for _ in target.rglob('*.py'))} modules", file=sys.stderr)
+            (destination / file).parent.mkdir(parents=True, exist_ok=True)
+            shutil.copy2(source, destination / file)
+    print(f"package: {sum(1 for _ in destination.rglob('*.py'))} modules", file=sys.stderr)
 
 
 if __name__ == "__main__":
--- a/dev/oleanderhill_dev/platform_standin.py
+++ b/dev/oleanderhill_dev/platform_standin.py
@@ -1,7 +1,8 @@
-"""Stand-in for the platform: key-value store, lagging host list, rate-limited weight store.
+"""Stand-in for the platform: key-value store, delayed host list, rate-limited weight store.
 
-The store speaks the published Consul KV API, as far as :mod:`oleanderhill.store` uses it. Faults
-are set by ``POST /faults``: ``down``, ``slow`` (seconds), ``lose_answers`` (probability).
+The store implements the parts of the Consul KV API that :mod:`oleanderhill.clients.store` uses.
+Faults are set by ``POST /faults``: ``down``, ``slow`` (seconds), ``lose_answers`` (the probability
+that a write is applied but not answered).
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
     """State of the stand-in.
 
     :param hosts: rows of the host list: host, address, domain, data centre, state
-    :param lag: seconds by which the host list lags
-    :param weights_rate: gigabytes a second that the weight store gives
+    :param lag: seconds until a change appears in the host list
+    :param weights_rate: gigabytes per second that the weight store allows
     """
 
     def __init__(self, hosts: list[list[str]], lag: float, weights_rate: float) -> None:
@@ -32,19 +33,19 @@
         self.hosts_index = 1
         self.lag = lag
         self.weights_rate = weights_rate
-        self.weights_free_at = 0.0
+        self.next_ticket_at = 0.0
         self.changed = asyncio.Event()
         self.faults: dict[str, Any] = {"down": False, "slow": 0.0, "lose_answers": 0.0}
         self.counts = {"reads": 0, "writes": 0, "watches": 0}
         self.rng = random.Random(1)
 
-    def bump(self) -> None:
-        """Wake all watches."""
+    def wake_watches(self) -> None:
+        """Wake all blocking queries."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def wait_past(self, current, index: int, seconds: float) -> None:
-        """Wait until ``current()`` exceeds ``index``."""
+    async def wait_for_index(self, current, index: int, seconds: float) -> None:
+        """Wait until ``current()`` exceeds ``index``, or the time is up."""
         deadline = time.monotonic() + seconds
         while current() <= index and time.monotonic() < deadline:
             try:
@@ -53,14 +54,14 @@
             except TimeoutError:
                 return
 
-    def swap(self, key: str, value: bytes, cas: int) -> bool:
-        """Compare and swap."""
-        held = self.value_by_key.get(key)
-        if (held[1] if held else 0) != cas:
+    def compare_and_swap(self, key: str, value: bytes, cas: int) -> bool:
+        """Write a value if the modify index is ``cas``, 0 for a new key; return whether it was."""
+        stored = self.value_by_key.get(key)
+        if (stored[1] if stored else 0) != cas:
             return False
         self.index += 1
         self.value_by_key[key] = (value, self.index)
-        self.bump()
+        self.wake_watches()
         return True
 
 
@@ -78,7 +79,7 @@
 
 
 class KvHandler(_Handler):
-    """``/v1/kv``."""
+    """``/v1/kv``: reads, blocking queries and compare-and-swap writes."""
 
     async def get(self, key: str) -> None:
         platform = self.platform
@@ -92,51 +93,51 @@
                 if (k.startswith(key) if recurse else k == key)
             ]
 
-        def newest() -> int:
+        def latest_index() -> int:
             return max((i for _, _, i in pairs()), default=1)
 
         if index:
             platform.counts["watches"] += 1
             wait = float(self.get_query_argument("wait", "10s").rstrip("s"))
-            await platform.wait_past(newest, index, wait)
+            await platform.wait_for_index(latest_index, index, wait)
             if platform.faults["down"]:
                 self.detach().close()
                 return
         platform.counts["reads"] += 1
-        self.set_header("X-Consul-Index", str(newest()))
-        found = [
+        self.set_header("X-Consul-Index", str(latest_index()))
+        rows = [
             {"Key": k, "Value": base64.b64encode(v).decode(), "ModifyIndex": i}
             for k, v, i in pairs()
         ]
-        self.set_status(200 if found else 404)
+        self.set_status(200 if rows else 404)
         self.set_header("Content-Type", "application/json")
-        self.finish(json.dumps(found) if found else b"")
+        self.finish(json.dumps(rows) if rows else b"")
 
     def put(self, key: str) -> None:
         platform = self.platform
         platform.counts["writes"] += 1
         cas = int(self.get_query_argument("cas"))
-        done = platform.swap(key, self.request.body, cas)
+        swapped = platform.compare_and_swap(key, self.request.body, cas)
         if platform.rng.random() < platform.faults["lose_answers"]:
             self.detach().close()
             return
-        self.finish(b"true" if done else b"false")
+        self.finish(b"true" if swapped else b"false")
 
 
 class HostsHandler(_Handler):
-    """``/v1/hosts``: the lagging list, with a blocking query."""
+    """``/v1/hosts``: the delayed host list, with blocking queries."""
 
     async def get(self) -> None:
         platform = self.platform
         index = int(self.get_query_argument("index", "0"))
         wait = float(self.get_query_argument("wait", "10s").rstrip("s"))
-        await platform.wait_past(lambda: platform.hosts_index, index, wait)
+        await platform.wait_for_index(lambda: platform.hosts_index, index, wait)
         data_centre = self.get_query_argument("dc")
         rows = [h for h in platform.hosts if h[3] == data_centre]
         self.finish({"index": platform.hosts_index, "hosts": rows})
 
     async def post(self) -> None:
-        """Change the state of hosts, or add hosts; seen after the lag."""
+        """Change the state of hosts, or add or remove hosts; the list shows it after the lag."""
         platform = self.platform
         change = json.loads(self.request.body)
         asyncio.get_running_loop().call_later(platform.lag, _change_hosts, platform, change)
@@ -149,25 +150,25 @@
     platform.hosts.extend(change.get("add", []))
     platform.hosts = [h for h in platform.hosts if h[0] not in change.get("remove", [])]
     platform.hosts_index += 1
-    platform.bump()
+    platform.wake_watches()
 
 
 class WeightsHandler(_Handler):
-    """``/v1/weights/ticket``: leave to read weights, paced."""
+    """``/v1/weights/ticket``: rate-limited permission to read weights."""
 
     def post(self) -> None:
         platform = self.platform
         now = time.monotonic()
-        if platform.weights_free_at > now:
-            self.finish({"wait": round(platform.weights_free_at - now, 3)})
+        if platform.next_ticket_at > now:
+            self.finish({"wait": round(platform.next_ticket_at - now, 3)})
             return
         gigabytes = float(self.get_query_argument("gb"))
-        platform.weights_free_at = now + gigabytes / platform.weights_rate
+        platform.next_ticket_at = now + gigabytes / platform.weights_rate
         self.finish({"wait": 0.0})
 
 
 class ControlHandler(RequestHandler):
-    """Faults and counts, for tests; not subject to the faults itself."""
+    """``/faults``: faults and counts for tests; works also while a fault is set."""
 
     def initialize(self, platform: Platform) -> None:
         self.platform = platform
@@ -181,18 +182,18 @@
 
 
 class SnapshotHandler(ControlHandler):
-    """Keeps a copy of the store, or sets the store back to it."""
+    """``/snapshot``: copies the store, or restores it from the copy."""
 
-    kept: dict[str, tuple[bytes, int]] = {}
+    snapshot: dict[str, tuple[bytes, int]] = {}
 
     def post(self) -> None:
         platform = self.platform
         if self.get_query_argument("do") == "keep":
-            SnapshotHandler.kept = dict(platform.value_by_key)
+            SnapshotHandler.snapshot = dict(platform.value_by_key)
         else:
-            platform.value_by_key = dict(SnapshotHandler.kept)
+            platform.value_by_key = dict(SnapshotHandler.snapshot)
             platform.index += 1
-            platform.bump()
+            platform.wake_watches()
         self.finish({"keys": len(platform.value_by_key)})
 
 
@@ -216,8 +217,8 @@
 
     :param address: ip:port to listen on
     :param hosts: path of a JSON file with the rows of the host list
-    :param lag: seconds by which the host list lags
-    :param weights_rate: gigabytes a second of the weight store
+    :param lag: seconds until a change appears in the host list
+    :param weights_rate: gigabytes per second that the weight store allows
     """
 
     async def serve() -> None:
--- a/dev/oleanderhill_dev/proving.py
+++ b/dev/oleanderhill_dev/proving.py
@@ -1,4 +1,4 @@
-"""Safeguards taken out, and the proofs that must then fail."""
+"""Mutation testing: mutants that disable a safeguard, and the checks that must then fail."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 
 
 class Proof(NamedTuple):
-    """A proof by name, and how to run it; it fails by raising."""
+    """A named check; ``run`` raises if it fails."""
 
     name: str
     run: Callable[[], None]
 
 
 class Mutant(NamedTuple):
-    """A safeguard and how to take it out."""
+    """A safeguard, the patches that disable it and the check that detects its absence.
+
+    :param patches: objects, the names of their attributes and the values to set
+    """
 
     safeguard: str
     patches: list[Patch]
@@ -25,13 +28,16 @@
 
 
 def testing(name: str) -> Proof:
-    """Return the proof by one unit test."""
+    """Return a check that runs one unit test.
+
+    It raises ``AssertionError`` only if the test fails; any other error is no detection.
+    """
 
     def run() -> None:
         result = unittest.TestResult()
         unittest.defaultTestLoader.loadTestsFromName(f"tests.{name}").run(result)
         if not result.testsRun:
-            raise LookupError(f"no test {name}")
+            raise LookupError(f"unit test not found: {name}")
         for _, text in result.errors:
             raise RuntimeError(text)
         for _, text in result.failures:
--- a/dev/oleanderhill_dev/service_standin.py
+++ b/dev/oleanderhill_dev/service_standin.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: keeps a record of every call that it ran."""
+"""Stand-in for a plain service that records every call it executes."""
 
 from __future__ import annotations
 
@@ -11,18 +11,22 @@
 
 
 class CallHandler(RequestHandler):
-    """Any path."""
+    """Handles calls of any path; ``POST /faults`` sets the delay.
+
+    :param record: path of the file to which calls are appended, empty for none
+    :param delay: one number, the seconds that a call takes; a list, so that it can be changed
+    """
 
     def initialize(self, record: str, delay: list[float]) -> None:
         self.record = record
         self.delay = delay
 
     async def get(self, path: str) -> None:
-        """Answer a repeatable call."""
+        """Answer a call."""
         await self._run(path)
 
     async def post(self, path: str) -> None:
-        """Answer a call that may not be repeatable."""
+        """Answer a call, or set the delay."""
         if path == "faults":
             self.delay[0] = json.loads(self.request.body)["delay"]
             self.finish({})
@@ -33,11 +37,11 @@
         run = self.request.headers.get("X-Oleanderhill-Run", "")
         self.set_header("X-Oleanderhill-Run", run)
         body = self.request.body.decode()
-        self._note({"event": "start", "run": run, "path": path, "body": body})
+        self._append_record({"event": "start", "run": run, "path": path, "body": body})
         await asyncio.sleep(self.delay[0])
         self.finish({"path": path, "echo": body})
 
-    def _note(self, row: dict[str, Any]) -> None:
+    def _append_record(self, row: dict[str, Any]) -> None:
         if self.record:
             with open(self.record, "a", encoding="utf-8") as file:
                 file.write(json.dumps(row) + "\n")
--- a/dev/oleanderhill_dev/site.py
+++ b/dev/oleanderhill_dev/site.py
@@ -1,4 +1,4 @@
-"""``make site``: a site on loopback that stays up until it is interrupted, for the tour."""
+"""``make site``: runs a site on loopback until it is interrupted, to try out the program."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def main(*, folder: str = "build/tour", program: str = "dist/oleanderhill") -> None:
-    """Run a site: two data centres, three entry hosts, ten engines, a plain service.
+    """Run a site with two data centres, three entry hosts, ten engines and a plain service.
 
-    :param folder: where logs go
-    :param program: the shipped program
+    :param folder: directory for logs
+    :param program: path of the oleanderhill program to run
     """
     shape = Shape(
         ("intake-hall", "intake-hall", "strip-hall"), {("intake-hall", "fabric-a"): 10}, services=1
@@ -24,10 +24,10 @@
         site.start()
         print(f"site: callers at {' '.join(e.callers for e in site.entries)}")
         print(f"site: operators at {site.operators()}, key operator-key")
-        print(f"site: logs in {folder}; press Ctrl-C to end it", flush=True)
+        print(f"site: logs in {folder}; press Ctrl-C to stop", flush=True)
         signal.pause()
     except KeyboardInterrupt:
-        print("site: ending")
+        print("site: stopping")
     finally:
         site.end()
 
--- a/dev/oleanderhill_dev/windows.py
+++ b/dev/oleanderhill_dev/windows.py
@@ -6,9 +6,10 @@
 
 
 def most_within(seconds: float, times: Iterable[float], since: float = float("-inf")) -> int:
-    """Return the most of some times that lie in any window of so many seconds.
+    """Return the largest number of times that lie within one window.
 
-    :param since: earlier times don't count
+    :param seconds: length of the window
+    :param since: earlier times are ignored
     """
     counted = [at for at in times if at >= since]
     return max((sum(at <= t < at + seconds for t in counted) for at in counted), default=0)
