--- a/dev/oleanderhill_dev/fuzz_endings.py
+++ b/dev/oleanderhill_dev/fuzz_endings.py
@@ -1,9 +1,10 @@
-"""Requests that end targets, beside others, played in virtual time against an oracle.
+"""Fuzzes the quarantine of crash-causing requests in virtual time, and checks it with an oracle.
 
-Several entry hosts, each with its own account of endings, send requests to targets that run a batch
-each. Some requests end whoever begins them; targets also end by themselves; connections are lost
-without an end; looks at a target, datagrams and the list are late or lost; entry hosts restart and
-know nothing. The play knows who is poison, and checks what the accounts make of it.
+Several entry hosts, each with its own crash tracker, send requests to targets that run a batch
+each. Some requests crash every target that starts them. Targets also crash by themselves, and
+connections are lost without a crash. Checks of a target, datagrams and the list of targets are late
+or lost, and entry hosts restart without state. The simulation knows which requests cause crashes,
+and checks that the trackers quarantine these soon and no others.
 """
 
 from __future__ import annotations
@@ -17,238 +18,296 @@
 from oleanderhill.routing.endings import ENOUGH, EndingBook, EndingNews
 
 STEP = 0.02
+"""Seconds of virtual time in a step."""
+
 SECONDS = 40.0
-ENDS_AFTER = 0.1
-RUNS = 1.0
-BACK_AFTER = 3.0
-LIST_LATE = 3.6
-SETTLED = 3.0
-"""Seconds after its start, or after an ending, from which on an entry host must know."""
+"""Length of a run in virtual seconds."""
+
+CRASH_DELAY = 0.1
+"""Seconds from the start of a crash-causing request to the crash of the target."""
+
+REQUEST_SECONDS = 1.0
+"""Seconds that any other request runs."""
 
-MORE = 3
-"""Sends of a culprit that are allowed then, by all entry hosts together."""
+RESTART_SECONDS = 3.0
+"""Seconds after a crash until the target accepts requests again."""
+
+LIST_DELAY = 3.6
+"""Seconds, at least, after a crash until the list of targets shows that the incarnation ended."""
+
+DETECTION_SECONDS = 3.0
+"""Seconds within which an entry host must reject a crash-causing request.
+
+They count from the start of the host or from the crash that suffices to identify the request,
+whichever is later.
+"""
+
+MAX_LATE_SENDS = 3
+"""Sends of a crash-causing request that are allowed later, by all entry hosts together."""
 
 
 class Run(NamedTuple):
-    """A request at a target."""
+    """A request that runs at a target.
+
+    :param placements: targets that the entry host has sent it to, including this one
+    :param retries: earlier attempts of the caller
+    """
 
     identity: str
     host: int
     target: int
-    began: float
-    ends: float
-    places: int
-    tries: int
+    started_at: float
+    ends_at: float
+    placements: int
+    retries: int
 
 
-class Found(NamedTuple):
-    """What a play showed.
+class Observations(NamedTuple):
+    """Observations of a run.
 
-    :param ended: endings by culprit, and further sends by entry hosts that must have known
-    :param wronged: requests that end nobody and were quarantined
+    :param crashes: number of crashes caused, by request
+    :param late_sends: sends by entry hosts that should have rejected the request, by request
+    :param false_positives: requests that cause no crash and were quarantined
+    :param quarantined: all requests that were quarantined
     """
 
-    ended: Counter[str]
-    further: Counter[str]
-    wronged: set[str]
+    crashes: Counter[str]
+    late_sends: Counter[str]
+    false_positives: set[str]
     quarantined: set[str]
 
 
-class Play:
-    """One play with one seed.
+class Simulation:
+    """One run with one seed.
 
-    :param rows: once, most targets end by themselves within a second and a half
+    :param crash_causing: number of crash-causing requests
+    :param crash_series: whether most targets crash by themselves within one period of 1.5 seconds
     """
 
     def __init__(
-        self, seed: int, hosts: int = 5, targets: int = 8, culprits: int = 2, rows: bool = False
+        self,
+        seed: int,
+        hosts: int = 5,
+        targets: int = 8,
+        crash_causing: int = 2,
+        crash_series: bool = False,
     ) -> None:
         self._rng = random.Random(seed)
-        self._rows = rows
-        self._books = [EndingBook() for _ in range(hosts)]
-        self._up_since = [-SETTLED] * hosts
-        self._life = dict.fromkeys(range(targets), 0)
+        self._crash_series = crash_series
+        self._trackers = [EndingBook() for _ in range(hosts)]
+        self._started_at = [-DETECTION_SECONDS] * hosts
+        self._incarnation = dict.fromkeys(range(targets), 0)
         self._down_until = dict.fromkeys(range(targets), 0.0)
-        self._culprits = [f"culprit-{n}" for n in range(culprits)]
+        self._crash_causing = [f"culprit-{n}" for n in range(crash_causing)]
         self._runs: list[Run] = []
-        self._later: list[tuple[float, Callable[[float], None]]] = []
-        self._number = 0
+        self._scheduled: list[tuple[float, Callable[[float], None]]] = []
+        self._request_count = 0
         self._now = 0.0
-        self._third_at: dict[str, float] = {}
-        self.found = Found(Counter(), Counter(), set(), set())
+        self._identified_at: dict[str, float] = {}
+        self.observed = Observations(Counter(), Counter(), set(), set())
 
-    def run(self) -> Found:
-        """Play to the end."""
+    def run(self) -> Observations:
+        """Run to the end."""
         rng = self._rng
-        for culprit in self._culprits:
-            self._at(rng.uniform(1, 8), lambda now, c=culprit: self._comes_again(c))  # type: ignore[misc]
-        rows_at = rng.uniform(5, SECONDS - 5) if self._rows else SECONDS
+        for identity in self._crash_causing:
+            self._schedule(rng.uniform(1, 8), lambda now, i=identity: self._send_repeatedly(i))  # type: ignore[misc]
+        series_at = rng.uniform(5, SECONDS - 5) if self._crash_series else SECONDS
         while self._now < SECONDS:
             self._now += STEP
-            for book in self._books:
-                book.targets = len(self._up())
-            due = [d for d in self._later if d[0] <= self._now]
-            self._later = [d for d in self._later if d[0] > self._now]
-            for _, what in due:
-                what(self._now)
-            self._go_on()
+            for tracker in self._trackers:
+                tracker.targets = len(self._running_targets())
+            due = [d for d in self._scheduled if d[0] <= self._now]
+            self._scheduled = [d for d in self._scheduled if d[0] > self._now]
+            for _, call in due:
+                call(self._now)
+            self._advance_requests()
             if rng.random() < 40 * STEP:
-                self._number += 1
-                self._send(f"innocent-{self._number}", rng.randrange(len(self._books)), 0, 0, ())
-            self._misfortunes(rows_at)
+                self._request_count += 1
+                self._send(
+                    f"innocent-{self._request_count}", rng.randrange(len(self._trackers)), 0, 0, ()
+                )
+            self._inject_faults(series_at)
             if round(self._now / STEP) % 5 == 0:
-                self._gossip(again=round(self._now / STEP) % 100 == 0)
-        return self.found
+                self._send_updates(resend=round(self._now / STEP) % 100 == 0)
+        return self.observed
 
-    def _at(self, at: float, what: Callable[[float], None]) -> None:
-        self._later.append((at, what))
+    def _schedule(self, at: float, call: Callable[[float], None]) -> None:
+        self._scheduled.append((at, call))
 
-    def _comes_again(self, identity: str) -> None:
-        self._send(identity, self._rng.randrange(len(self._books)), 0, 0, ())
-        self._at(self._now + self._rng.uniform(0.3, 4), lambda now: self._comes_again(identity))
+    def _send_repeatedly(self, identity: str) -> None:
+        self._send(identity, self._rng.randrange(len(self._trackers)), 0, 0, ())
+        self._schedule(
+            self._now + self._rng.uniform(0.3, 4), lambda now: self._send_repeatedly(identity)
+        )
 
-    def _life_of(self, target: int) -> str:
-        return f"t{target}.{self._life[target]}"
+    def _incarnation_of(self, target: int) -> str:
+        return f"t{target}.{self._incarnation[target]}"
 
-    def _up(self) -> list[int]:
+    def _running_targets(self) -> list[int]:
         return [t for t, until in self._down_until.items() if until <= self._now]
 
     def _send(
-        self, identity: str, host: int, places: int, tries: int, tried: tuple[int, ...]
+        self, identity: str, host: int, placements: int, retries: int, tried: tuple[int, ...]
     ) -> None:
-        book = self._books[host]
-        if book.quarantined(identity) is not None:
+        tracker = self._trackers[host]
+        if tracker.quarantined(identity) is not None:
             return
-        wait = book.hold(identity, self._now)
-        if wait and not places and not tries:
-            self._at(self._now + wait, lambda now: self._send(identity, host, 0, 1, ()))
-        if wait:
+        hold_seconds = tracker.hold(identity, self._now)
+        if hold_seconds and not placements and not retries:
+            self._schedule(
+                self._now + hold_seconds, lambda now: self._send(identity, host, 0, 1, ())
+            )
+        if hold_seconds:
             return
-        left = [t for t in self._up() if t not in tried]
-        if not left:
+        available = [t for t in self._running_targets() if t not in tried]
+        if not available:
             return
         load = Counter(r.target for r in self._runs)
-        least = min(left, key=lambda t: (load[t], self._rng.random()))
-        target = self._rng.choice(left) if book.suspicion(identity) else least
-        seconds = ENDS_AFTER if identity in self._culprits else RUNS
-        known = self._third_at.get(identity, float("inf"))
-        if self._now > max(known, self._up_since[host]) + SETTLED:
-            self.found.further[identity] += 1
+        least_loaded = min(available, key=lambda t: (load[t], self._rng.random()))
+        target = self._rng.choice(available) if tracker.suspicion(identity) else least_loaded
+        seconds = CRASH_DELAY if identity in self._crash_causing else REQUEST_SECONDS
+        identified_at = self._identified_at.get(identity, float("inf"))
+        if self._now > max(identified_at, self._started_at[host]) + DETECTION_SECONDS:
+            self.observed.late_sends[identity] += 1
         self._runs.append(
-            Run(identity, host, target, self._now, self._now + seconds, places + 1, tries)
+            Run(identity, host, target, self._now, self._now + seconds, placements + 1, retries)
         )
 
-    def _go_on(self) -> None:
-        for run in [r for r in self._runs if r.ends <= self._now]:
+    def _advance_requests(self) -> None:
+        for run in [r for r in self._runs if r.ends_at <= self._now]:
             if run not in self._runs:
                 continue
-            if run.identity in self._culprits:
-                self._end(run.target)
+            if run.identity in self._crash_causing:
+                self._crash(run.target)
                 continue
             self._runs.remove(run)
-            _, quarantined = self._books[run.host].answered(run.identity, self._now)
-            self._take(quarantined)
+            _, quarantined = self._trackers[run.host].answered(run.identity, self._now)
+            self._record_quarantined(quarantined)
         for run in self._runs:
-            if run.identity not in self._culprits:
-                self._books[run.host].lives(self._life_of(run.target), self._now)
+            if run.identity not in self._crash_causing:
+                self._trackers[run.host].lives(self._incarnation_of(run.target), self._now)
 
-    def _end(self, target: int) -> None:
-        """Let a target end, and everything in flight be lost."""
-        life, rng = self._life_of(target), self._rng
+    def _crash(self, target: int) -> None:
+        """Crash a target, so that all its requests are lost."""
+        incarnation, rng = self._incarnation_of(target), self._rng
         lost = [r for r in self._runs if r.target == target]
         self._runs = [r for r in self._runs if r.target != target]
-        self._life[target] += 1
-        self._down_until[target] = self._now + BACK_AFTER
-        for culprit in {r.identity for r in lost} & set(self._culprits):
-            self.found.ended[culprit] += 1
-            if self.found.ended[culprit] == ENOUGH:
-                self._third_at[culprit] = self._now
+        self._incarnation[target] += 1
+        self._down_until[target] = self._now + RESTART_SECONDS
+        for identity in {r.identity for r in lost} & set(self._crash_causing):
+            self.observed.crashes[identity] += 1
+            if self.observed.crashes[identity] == ENOUGH:
+                self._identified_at[identity] = self._now
         for run in lost:
-            self._lose(run, life)
+            self._lose_request(run, incarnation)
         for host in {r.host for r in lost}:
             if rng.random() < 0.8:
-                self._at(self._now + 0.06, lambda now, h=host: self._over(h, life))  # type: ignore[misc]
-        for host in range(len(self._books)):
-            late = LIST_LATE + rng.uniform(0, 0.7)
-            self._at(self._now + late, lambda now, h=host: self._over(h, life))  # type: ignore[misc]
+                self._schedule(self._now + 0.06, lambda now, h=host: self._on_ended(h, incarnation))  # type: ignore[misc]
+        for host in range(len(self._trackers)):
+            delay = LIST_DELAY + rng.uniform(0, 0.7)
+            self._schedule(self._now + delay, lambda now, h=host: self._on_ended(h, incarnation))  # type: ignore[misc]
 
-    def _lose(self, run: Run, life: str) -> None:
+    def _lose_request(self, run: Run, incarnation: str) -> None:
         rng = self._rng
-        self._books[run.host].lost(run.identity, life, self._now - run.began, self._now)
-        if run.places < 2:
-            self._send(run.identity, run.host, run.places, run.tries, (run.target,))
-        elif run.tries < 1:
-            host = rng.randrange(len(self._books))
-            again = self._now + rng.uniform(0.01, 0.5)
-            self._at(again, lambda now: self._send(run.identity, host, 0, run.tries + 1, ()))
-
-    def _look(self, host: int, target: int, life: str) -> Callable[[float], None]:
-        def look(now: float) -> None:
-            if self._life_of(target) == life:
-                self._books[host].lives(life, now, asked=True)
-
-        return look
-
-    def _over(self, host: int, life: str) -> None:
-        self._take(self._books[host].over(life, self._now))
-
-    def _take(self, quarantined: list[str]) -> None:
-        self.found.quarantined.update(quarantined)
-        self.found.wronged.update(c for c in quarantined if c not in self._culprits)
-
-    def _misfortunes(self, rows_at: float) -> None:
+        self._trackers[run.host].lost(
+            run.identity, incarnation, self._now - run.started_at, self._now
+        )
+        if run.placements < 2:
+            self._send(run.identity, run.host, run.placements, run.retries, (run.target,))
+        elif run.retries < 1:
+            host = rng.randrange(len(self._trackers))
+            retry_at = self._now + rng.uniform(0.01, 0.5)
+            self._schedule(
+                retry_at, lambda now: self._send(run.identity, host, 0, run.retries + 1, ())
+            )
+
+    def _alive_check(self, host: int, target: int, incarnation: str) -> Callable[[float], None]:
+        def check(now: float) -> None:
+            if self._incarnation_of(target) == incarnation:
+                self._trackers[host].lives(incarnation, now, asked=True)
+
+        return check
+
+    def _on_ended(self, host: int, incarnation: str) -> None:
+        self._record_quarantined(self._trackers[host].over(incarnation, self._now))
+
+    def _record_quarantined(self, quarantined: list[str]) -> None:
+        self.observed.quarantined.update(quarantined)
+        self.observed.false_positives.update(c for c in quarantined if c not in self._crash_causing)
+
+    def _inject_faults(self, series_at: float) -> None:
         rng = self._rng
-        if rng.random() < 0.2 * STEP and self._up():
-            self._end(rng.choice(self._up()))
-        if rows_at <= self._now < rows_at + 1.5 and rng.random() < 3 * STEP and self._up():
-            self._end(rng.choice(self._up()))
+        if rng.random() < 0.2 * STEP and self._running_targets():
+            self._crash(rng.choice(self._running_targets()))
+        if (
+            series_at <= self._now < series_at + 1.5
+            and rng.random() < 3 * STEP
+            and self._running_targets()
+        ):
+            self._crash(rng.choice(self._running_targets()))
         if rng.random() < 0.3 * STEP:
-            target = rng.choice(list(self._life))
-            gone = [r for r in self._runs if r.target == target]
+            target = rng.choice(list(self._incarnation))
+            lost = [r for r in self._runs if r.target == target]
             self._runs = [r for r in self._runs if r.target != target]
-            for run in gone:
-                self._lose(run, self._life_of(target))
+            for run in lost:
+                self._lose_request(run, self._incarnation_of(target))
                 if rng.random() < 0.8:
-                    self._at(self._now + 0.06, self._look(run.host, target, self._life_of(target)))
+                    self._schedule(
+                        self._now + 0.06,
+                        self._alive_check(run.host, target, self._incarnation_of(target)),
+                    )
         if rng.random() < 0.05 * STEP:
-            host = rng.randrange(len(self._books))
-            self._books[host] = EndingBook()
-            self._up_since[host] = self._now
+            host = rng.randrange(len(self._trackers))
+            self._trackers[host] = EndingBook()
+            self._started_at[host] = self._now
             self._runs = [r for r in self._runs if r.host != host]
-        for book in self._books:
-            book.forget(self._now)
+        for tracker in self._trackers:
+            tracker.forget(self._now)
 
-    def _gossip(self, again: bool) -> None:
-        for sender, book in enumerate(self._books):
-            for part in book.news(str(sender), self._now, again):
-                for host in range(len(self._books)):
+    def _send_updates(self, resend: bool) -> None:
+        for sender, tracker in enumerate(self._trackers):
+            for update in tracker.news(str(sender), self._now, resend):
+                for host in range(len(self._trackers)):
                     if host != sender and self._rng.random() < 0.9:
-                        self._at(self._now + STEP, lambda now, h=host, p=part: self._hear(h, p))  # type: ignore[misc]
-
-    def _hear(self, host: int, news: EndingNews) -> None:
-        self._take(self._books[host].hear(news, self._now))
-
-
-def broken(found: Found) -> list[str]:
-    """Return what a play shows that must not be."""
-    late = [f"{i} sent {n} times more" for i, n in found.further.items() if n > MORE]
-    return [*late, *(f"{i} quarantined, and ended nobody" for i in sorted(found.wronged))]
-
-
-def play(seed: int, rows: bool = False) -> Found:
-    """Play a seed, which also draws how many hosts, targets and culprits there are."""
+                        self._schedule(
+                            self._now + STEP,
+                            lambda now, h=host, u=update: self._deliver(h, u),  # type: ignore[misc]
+                        )
+
+    def _deliver(self, host: int, update: EndingNews) -> None:
+        self._record_quarantined(self._trackers[host].hear(update, self._now))
+
+
+def broken(observed: Observations) -> list[str]:
+    """Return a message for each violation that a run shows."""
+    late = [
+        f"{i} sent {n} times after it should have been quarantined"
+        for i, n in observed.late_sends.items()
+        if n > MAX_LATE_SENDS
+    ]
+    return [
+        *late,
+        *(
+            f"{i} quarantined, although it causes no crash"
+            for i in sorted(observed.false_positives)
+        ),
+    ]
+
+
+def play(seed: int, rows: bool = False) -> Observations:
+    """Run a seed, which also sets the numbers of hosts, targets and crash-causing requests."""
     hosts, targets = (3, 5, 9)[seed % 3], (4, 8, 14)[seed // 3 % 3]
-    return Play(seed, hosts, targets, seed % 4, rows).run()
+    return Simulation(seed, hosts, targets, seed % 4, rows).run()
 
 
 def main() -> int:
-    """Play the seeds named on the command line, ``FIRST COUNT``, and return the exit code."""
+    """Run the seeds given on the command line as ``FIRST COUNT``; return the exit code."""
     first, count = (int(a) for a in (sys.argv[1:] or ["0", "20"])[:2])
     failed = 0
     for seed in range(first, first + count):
-        found = broken(play(seed))
-        failed += bool(found)
-        for line in found:
+        messages = broken(play(seed))
+        failed += bool(messages)
+        for line in messages:
             print(f"endings: seed={seed} {line}", flush=True)
     print(f"endings: seeds={count} failed={failed}")
     return 1 if failed else 0
--- a/dev/oleanderhill_dev/model/__init__.py
+++ b/dev/oleanderhill_dev/model/__init__.py
@@ -1,5 +1,5 @@
-"""A model in virtual time of what the product serves: it runs the real decision modules.
+"""Discrete-event simulation of a fleet that runs the decision modules of the product.
 
-Entry hosts place requests by the shipped :mod:`oleanderhill.serving` modules; engines, callers, the
-news among hosts and the losses of groups are modelled. A seed gives the same run.
+Entry hosts place requests with the modules of :mod:`oleanderhill.serving`; engines, callers, the
+updates among hosts and the losses of groups are simulated. Equal seeds give equal runs.
 """
--- a/dev/oleanderhill_dev/model/clockwork.py
+++ b/dev/oleanderhill_dev/model/clockwork.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is to happen, in order."""
+"""Virtual time: a queue of calls ordered by time."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from collections.abc import Callable
 
 
-class Clockwork:
-    """Runs calls at their times; two at the same time in the order in which they were set."""
+class VirtualClock:
+    """Runs calls at their times; calls due at the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._calls: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        """Call something at a time."""
+    def call_at(self, when: float, call: Callable[[], None]) -> None:
+        """Schedule a call at a time, or now if the time has passed."""
         heapq.heappush(self._calls, (max(when, self.now), next(self._order), call))
 
-    def later(self, seconds: float, call: Callable[[], None]) -> None:
-        """Call something after some seconds."""
-        self.at(self.now + seconds, call)
+    def call_later(self, seconds: float, call: Callable[[], None]) -> None:
+        """Schedule a call after a delay."""
+        self.call_at(self.now + seconds, call)
 
     def run(self, until: float) -> None:
         """Run all calls up to a time."""
--- a/dev/oleanderhill_dev/model/policies.py
+++ b/dev/oleanderhill_dev/model/policies.py
@@ -1,4 +1,4 @@
-"""How an entry host decides: the shipped way, earlier ones, and common ones to compare with."""
+"""Policies of entry hosts: the shipped one, variants of it and common ones for comparison."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from oleanderhill.serving.standing import ROOM_AT_ENGINE, Room, Standing
 
 
-class Ask(NamedTuple):
-    """A request that looks for a group.
+class PlacementRequest(NamedTuple):
+    """A request to be placed at a group.
 
-    :param on_time_until: time until which its first event is on time
+    :param tried: groups that the request was sent to before
+    :param on_time_until: time until which the first event is on time
     """
 
     standing: Standing
@@ -22,160 +23,194 @@
 
 
 class Policy(Protocol):
-    """Decides for all entry hosts; each has a book of its own."""
+    """Placement decisions, shared by all entry hosts; each host passes its own load tracker."""
 
     name: str
-    hears_backoffs: bool
+    honours_backoffs: bool
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self,
+        tracker: LoadBook,
+        candidates: Sequence[Candidate],
+        request: PlacementRequest,
+        now: float,
     ) -> Candidate | None:
-        """Return the group that takes a request, ``None`` to refuse it."""
+        """Return the group to send a request to, ``None`` to reject it."""
 
-    def urgency(self, ask: Ask, now: float) -> int:
-        """Return the rank in the group's queue; the smallest goes first."""
+    def queue_rank(self, request: PlacementRequest, now: float) -> int:
+        """Return the rank in the group's queue; the smallest runs first."""
 
-    def hold_until(self, ask: Ask) -> float:
-        """Return the time until which a request without a place waits for one."""
+    def hold_until(self, request: PlacementRequest) -> float:
+        """Return the time until which a request without a free slot is held at the entry host."""
 
-    def first_event(self, target: str, on_time: bool) -> None:
-        """Take note of whether a first event came on time."""
+    def record_first_event(self, target: str, on_time: bool) -> None:
+        """Record whether the first event of a request was on time."""
 
 
 class Shipped:
-    """The shipped decisions."""
+    """The policy of the product."""
 
     name = "shipped"
-    room_by_standing = ROOM_AT_ENGINE
-    hears_backoffs = True
+    limits_by_class = ROOM_AT_ENGINE
+    honours_backoffs = True
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self,
+        tracker: LoadBook,
+        candidates: Sequence[Candidate],
+        request: PlacementRequest,
+        now: float,
     ) -> Candidate | None:
-        return book.choose(candidates, ask.tried, now, self.room_by_standing[ask.standing].places)
+        return tracker.choose(
+            candidates, request.tried, now, self.limits_by_class[request.standing].places
+        )
 
-    def hold_until(self, ask: Ask) -> float:
+    def hold_until(self, request: PlacementRequest) -> float:
         return 0.0
 
-    def urgency(self, ask: Ask, now: float) -> int:
-        return 5 + self.room_by_standing[ask.standing].urgency
+    def queue_rank(self, request: PlacementRequest, now: float) -> int:
+        return 5 + self.limits_by_class[request.standing].urgency
 
-    def first_event(self, target: str, on_time: bool) -> None:
-        """Learn nothing."""
+    def record_first_event(self, target: str, on_time: bool) -> None:
+        """Do nothing; the shipped policy does not adapt."""
 
 
-class LongQueueForReturned(Shipped):
-    """A queue of two for the fresh, of ten for those that come back, in the order of coming."""
+class LongQueueForRetries(Shipped):
+    """Queue two new requests and ten retries at each group, in the order of arrival."""
 
-    name = "long queue for returned"
-    room_by_standing = {
+    name = "long queue for retries"
+    limits_by_class = {
         Standing.BEGUN: Room(1.8, 0),
         Standing.FRESH: Room(1.2, 0),
         Standing.LATE: Room(1.8, 0),
     }
 
 
-class SameRoom(Shipped):
-    """A queue of two for all, in the order of coming."""
+class ShortQueueForAll(Shipped):
+    """Queue two requests of any class at each group, in the order of arrival."""
 
     name = "queue of two for all"
-    room_by_standing = dict.fromkeys(Standing, Room(1.2, 0))
+    limits_by_class = dict.fromkeys(Standing, Room(1.2, 0))
 
 
-class HeldForAPlace(Shipped):
-    """As shipped, and a fresh request without a place waits for one while it can be on time."""
+class HeldForASlot(Shipped):
+    """As shipped, but hold a new request without a free slot while it can still be on time."""
 
-    name = "held for a place"
-    SHORTEST = 0.12
+    name = "held for a slot"
+    MIN_FIRST_EVENT_SECONDS = 0.12
+    """Seconds to the first event at least; a held request with less time left is rejected."""
 
-    def hold_until(self, ask: Ask) -> float:
-        return ask.on_time_until - self.SHORTEST if ask.standing == Standing.FRESH else 0.0
+    def hold_until(self, request: PlacementRequest) -> float:
+        return (
+            request.on_time_until - self.MIN_FIRST_EVENT_SECONDS
+            if request.standing == Standing.FRESH
+            else 0.0
+        )
 
 
-class LimitsUnheard(Shipped):
-    """As shipped, but for the limits that groups name, of which it knows nothing."""
+class LimitsIgnored(Shipped):
+    """As shipped, but ignore the rate limits that groups state."""
 
-    name = "limits unheard"
+    name = "limits ignored"
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self,
+        tracker: LoadBook,
+        candidates: Sequence[Candidate],
+        request: PlacementRequest,
+        now: float,
     ) -> Candidate | None:
         for candidate in candidates:
-            book.limits.forget(candidate.target)
-        return super().choose(book, candidates, ask, now)
+            tracker.limits.forget(candidate.target)
+        return super().choose(tracker, candidates, request, now)
 
 
-class BackoffsUnheard(Shipped):
-    """As shipped, but a group that turns a request away is doubtful, whatever time it names."""
+class BackoffsIgnored(Shipped):
+    """As shipped, but suspect a group that rejects a request and ignore its back-off time."""
 
-    name = "back-offs unheard"
-    hears_backoffs = False
+    name = "back-offs ignored"
+    honours_backoffs = False
 
 
-class FreePlacesOnly(LongQueueForReturned):
-    """Least busy group, nobody waits."""
+class FreeSlotsOnly(LongQueueForRetries):
+    """Choose the least busy group with a free slot; nothing is queued."""
 
     name = "no queue"
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self,
+        tracker: LoadBook,
+        candidates: Sequence[Candidate],
+        request: PlacementRequest,
+        now: float,
     ) -> Candidate | None:
-        return _least_busy(book, candidates, ask, now, lambda c: c.host.slots)
+        return _choose_least_busy(tracker, candidates, request, now, lambda c: c.host.slots)
 
 
-class LeastBusy(LongQueueForReturned):
-    """Least busy group, whatever its queue."""
+class LeastBusy(LongQueueForRetries):
+    """Choose the least busy group, however long its queue."""
 
-    name = "queue without bound"
+    name = "unbounded queue"
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self,
+        tracker: LoadBook,
+        candidates: Sequence[Candidate],
+        request: PlacementRequest,
+        now: float,
     ) -> Candidate | None:
-        return _least_busy(book, candidates, ask, now, lambda c: 10**9)
+        return _choose_least_busy(tracker, candidates, request, now, lambda c: 10**9)
 
 
 class EarliestDeadline(LeastBusy):
-    """Queue without bound, by the time until which each can be on time."""
+    """Unbounded queue, ordered by the time until which each request can be on time."""
 
     name = "queue by deadline"
 
-    def urgency(self, ask: Ask, now: float) -> int:
-        return int(ask.on_time_until * 1000)
+    def queue_rank(self, request: PlacementRequest, now: float) -> int:
+        return int(request.on_time_until * 1000)
 
 
-class AdaptiveLimit(LongQueueForReturned):
-    """As many at once as come on time: the limit of a group grows slowly and falls by a tenth."""
+class AdaptiveLimit(LongQueueForRetries):
+    """Adapt the concurrency limit of each group to whether first events are on time.
+
+    The limit grows slowly with each one that is on time, and falls by a tenth with a late one.
+    """
 
     name = "adaptive limit"
-    GROWTH = 0.05
-    FALL = 0.9
+    INCREMENT = 0.05
+    DECREASE_FACTOR = 0.9
 
     def __init__(self) -> None:
         self._limit_by_target: dict[str, float] = {}
 
     def choose(
-        self, book: LoadBook, candidates: Sequence[Candidate], ask: Ask, now: float
+        self,
+        tracker: LoadBook,
+        candidates: Sequence[Candidate],
+        request: PlacementRequest,
+        now: float,
     ) -> Candidate | None:
         limits = self._limit_by_target
-        return _least_busy(
-            book, candidates, ask, now, lambda c: limits.get(c.target, float(c.host.slots))
+        return _choose_least_busy(
+            tracker, candidates, request, now, lambda c: limits.get(c.target, float(c.host.slots))
         )
 
-    def first_event(self, target: str, on_time: bool) -> None:
+    def record_first_event(self, target: str, on_time: bool) -> None:
         limit = self._limit_by_target.get(target, 13.0)
-        new = limit + self.GROWTH if on_time else limit * self.FALL
-        self._limit_by_target[target] = min(60.0, max(2.0, new))
+        adjusted = limit + self.INCREMENT if on_time else limit * self.DECREASE_FACTOR
+        self._limit_by_target[target] = min(60.0, max(2.0, adjusted))
 
 
 def all_policies() -> list[Policy]:
-    """Return one of each, new."""
+    """Return a new instance of each compared policy."""
     return [
         Shipped(),
-        LongQueueForReturned(),
-        SameRoom(),
-        HeldForAPlace(),
-        LimitsUnheard(),
-        FreePlacesOnly(),
+        LongQueueForRetries(),
+        ShortQueueForAll(),
+        HeldForASlot(),
+        LimitsIgnored(),
+        FreeSlotsOnly(),
         LeastBusy(),
         EarliestDeadline(),
         AdaptiveLimit(),
@@ -185,16 +220,16 @@
 _RNG = random.Random(7)
 
 
-def _least_busy(
-    book: LoadBook,
+def _choose_least_busy(
+    tracker: LoadBook,
     candidates: Sequence[Candidate],
-    ask: Ask,
+    request: PlacementRequest,
     now: float,
-    most: Callable[[Candidate], float],
+    limit: Callable[[Candidate], float],
 ) -> Candidate | None:
-    """Return the least busy group of those with less than so many requests."""
-    left = [c for c in candidates if c.target not in ask.tried]
-    sound = [c for c in left if not book.is_suspect(c.target, now)] or left
-    loads = [(book.load(c.target, now), c) for c in sound]
-    roomy = [(n / c.host.slots, _RNG.random(), c) for n, c in loads if n < most(c)]
-    return min(roomy)[2] if roomy else None
+    """Return the least busy group among those with fewer requests than their limit."""
+    untried = [c for c in candidates if c.target not in request.tried]
+    healthy = [c for c in untried if not tracker.is_suspect(c.target, now)] or untried
+    loads = [(tracker.load(c.target, now), c) for c in healthy]
+    available = [(n / c.host.slots, _RNG.random(), c) for n, c in loads if n < limit(c)]
+    return min(available)[2] if available else None
--- a/dev/oleanderhill_dev/model/site.py
+++ b/dev/oleanderhill_dev/model/site.py
@@ -1,4 +1,4 @@
-"""Entry hosts, callers and the news among hosts, played over a scenario."""
+"""Simulation of a scenario: entry hosts, callers and the updates among hosts."""
 
 from __future__ import annotations
 
@@ -17,382 +17,413 @@
 from oleanderhill.serving.standing import standing
 from oleanderhill.settings.catalog import Repeatable, Route
 
-from .clockwork import Clockwork
-from .engines import Group, Work
-from .policies import Ask, Policy
-from .scenario import Kind, Loss, Need, Scenario, Shed, check
+from .clockwork import VirtualClock
+from .engines import EngineRequest, Group
+from .policies import PlacementRequest, Policy
+from .scenario import BackoffPeriod, GroupLoss, LimitPeriod, RequestKind, Scenario, validate
 
-REPORT_EVERY = 0.05
-"""Seconds between two reports of a host, as shipped."""
+REPORT_INTERVAL = 0.05
+"""Seconds between two reports of a host, as in the product."""
 
-WAY = 0.003
-"""Seconds from a caller to an entry host and on to a group."""
+NETWORK_DELAY = 0.003
+"""Seconds from a caller through an entry host to a group, and of a rejection on the way back."""
 
 RETRY_WINDOW = 10.0
+"""Window of the retry budget, in seconds."""
 
-HOLD_STEP = 0.01
-"""Seconds after which a held request looks for a place again."""
+HOLD_INTERVAL = 0.01
+"""Seconds between two attempts to place a request that is held at an entry host."""
 
 
-class End(NamedTuple):
-    """How a caller fared.
+class CallerResult(NamedTuple):
+    """Result of a caller, over all its attempts.
 
-    :param asked_at: time of the first attempt
+    :param first_sent_at: time of the first attempt
     :param outcome: ``on time``, ``late``, ``refused`` or ``failed``
+    :param first_event_after: seconds from the first attempt to the first event
+    :param rejections: number of attempts that were rejected
     """
 
-    kind: Kind
-    asked_at: float
+    kind: RequestKind
+    first_sent_at: float
     outcome: str
     first_event_after: float | None
-    refusals: int
+    rejections: int
 
 
-class Site:
-    """One play of a scenario under a policy."""
+class Simulation:
+    """One run of a scenario under a policy."""
 
     def __init__(self, scenario: Scenario, policy: Policy, seed: int) -> None:
-        check(scenario)
+        validate(scenario)
         self.scenario = scenario
         self.policy = policy
-        self.clock = Clockwork()
+        self.clock = VirtualClock()
         self.rng = random.Random(seed)
-        self.ends: list[End] = []
+        self.results: list[CallerResult] = []
         self.groups: dict[str, list[Group]] = {}
         self.visible: dict[str, list[Candidate]] = {}
         for model in scenario.models:
             names = [f"{model.name}-{n}" for n in range(model.groups)]
             self.groups[model.name] = [Group(n, model, scenario.engine, self.clock) for n in names]
-            self.visible[model.name] = [Candidate(n, _head(n, model.slots)) for n in names]
-        self.group_by_name = {g.name: g for found in self.groups.values() for g in found}
+            self.visible[model.name] = [Candidate(n, _target_host(n, model.slots)) for n in names]
+        self.group_by_name = {g.name: g for groups in self.groups.values() for g in groups}
         self.hosts = [EntryHost(self, f"entry-{n}") for n in range(scenario.entry_hosts)]
 
-    def play(self) -> list[End]:
-        """Play it and return how each caller fared."""
+    def run(self) -> list[CallerResult]:
+        """Run the scenario and return the result of each caller."""
         for kind in self.scenario.kinds:
-            self._next_caller(kind)
+            self._schedule_caller(kind)
         for loss in self.scenario.losses:
-            self.clock.at(loss.at, partial(self._lose, loss))
-        for need in self.scenario.needs:
-            self.clock.at(need.at, partial(self._limit, need, need.rate))
-            self.clock.at(need.at + need.seconds, partial(self._limit, need, None))
-        for shed in self.scenario.sheds:
-            self.clock.at(shed.at, partial(self._shed, shed, shed.backoff))
-            self.clock.at(shed.at + shed.seconds, partial(self._shed, shed, None))
-        self.clock.later(REPORT_EVERY, self._report)
+            self.clock.call_at(loss.at, partial(self._stall_group, loss))
+        for limit_period in self.scenario.needs:
+            self.clock.call_at(
+                limit_period.at, partial(self._set_limit, limit_period, limit_period.rate)
+            )
+            self.clock.call_at(
+                limit_period.at + limit_period.seconds, partial(self._set_limit, limit_period, None)
+            )
+        for backoff_period in self.scenario.sheds:
+            self.clock.call_at(
+                backoff_period.at,
+                partial(self._set_backoff, backoff_period, backoff_period.backoff),
+            )
+            self.clock.call_at(
+                backoff_period.at + backoff_period.seconds,
+                partial(self._set_backoff, backoff_period, None),
+            )
+        self.clock.call_later(REPORT_INTERVAL, self._report)
         self.clock.run(self.scenario.seconds + 12.0)
-        return self.ends
+        return self.results
 
-    def _next_caller(self, kind: Kind) -> None:
+    def _schedule_caller(self, kind: RequestKind) -> None:
         now = self.clock.now
         factors = [b.factor for b in self.scenario.bursts if b.at <= now < b.at + b.seconds]
         rate = kind.per_second * math.prod(factors)
         at = now + self.rng.expovariate(rate)
         if at < self.scenario.seconds:
-            self.clock.at(at, lambda: self._call(kind))
+            self.clock.call_at(at, lambda: self._start_caller(kind))
 
-    def _call(self, kind: Kind) -> None:
-        Caller(self, kind).ask()
-        self._next_caller(kind)
+    def _start_caller(self, kind: RequestKind) -> None:
+        Caller(self, kind).send()
+        self._schedule_caller(kind)
 
-    def _lose(self, loss: Loss) -> None:
+    def _stall_group(self, loss: GroupLoss) -> None:
         model = loss.model
-        sound = [g for g in self.groups[model] if not g.stalled]
-        if not sound:
+        running = [g for g in self.groups[model] if not g.stalled]
+        if not running:
             return
-        group = self.rng.choice(sound)
+        group = self.rng.choice(running)
         group.stalled = True
-        shown = next(c for c in self.visible[model] if c.target == group.name)
-        self.clock.later(loss.seen, lambda: self.visible[model].remove(shown))
+        candidate = next(c for c in self.visible[model] if c.target == group.name)
+        self.clock.call_later(loss.seen, lambda: self.visible[model].remove(candidate))
 
-        def back() -> None:
-            group.go_on()
-            self.visible[model].append(shown)
+        def restart() -> None:
+            group.restart()
+            self.visible[model].append(candidate)
 
-        self.clock.later(max(loss.seen, loss.seconds), back)
+        self.clock.call_later(max(loss.seen, loss.seconds), restart)
 
-    def _limit(self, need: Need, rate: float | None) -> None:
-        for group in self.groups[need.model][: need.groups]:
+    def _set_limit(self, period: LimitPeriod, rate: float | None) -> None:
+        for group in self.groups[period.model][: period.groups]:
             group.limit = rate
 
-    def _shed(self, shed: Shed, backoff: float | None) -> None:
-        for group in self.groups[shed.model][: shed.groups]:
+    def _set_backoff(self, period: BackoffPeriod, backoff: float | None) -> None:
+        for group in self.groups[period.model][: period.groups]:
             group.backoff = backoff
 
     def _report(self) -> None:
         now = self.clock.now
         names = tuple(host.name for host in self.hosts)
         for host in self.hosts:
-            book = host.book
-            news = (
-                dict(book.own),
-                book.own_suspects(now),
-                book.own_progress(now),
-                book.own_turned_away(now),
+            tracker = host.tracker
+            load_report = (
+                dict(tracker.own),
+                tracker.own_suspects(now),
+                tracker.own_progress(now),
+                tracker.own_turned_away(now),
             )
-            host.book.limits.reach(names, True, now)
-            limits, backing_off = host.book.limits.news(now), book.own_backoffs(now)
+            host.tracker.limits.reach(names, True, now)
+            limit_updates, backoffs = host.tracker.limits.news(now), tracker.own_backoffs(now)
             for other in self.hosts:
                 if other is not host and self.rng.random() >= self.scenario.report_loss:
-                    other.book.hear(host.name, *news, now)
-                    other.book.hear_backoffs(backing_off, now)
-                    for part in limits:
-                        other.book.limits.hear(part, lambda life: True, now)
+                    other.tracker.hear(host.name, *load_report, now)
+                    other.tracker.hear_backoffs(backoffs, now)
+                    for update in limit_updates:
+                        other.tracker.limits.hear(update, lambda incarnation: True, now)
         if now < self.scenario.seconds + 10.0:
-            self.clock.later(REPORT_EVERY, self._report)
+            self.clock.call_later(REPORT_INTERVAL, self._report)
 
 
 class EntryHost:
-    """One entry host: its book and its share of the retries."""
+    """One entry host: its load tracker and its share of the retry budget."""
 
-    def __init__(self, site: Site, name: str) -> None:
-        self.site = site
+    def __init__(self, simulation: Simulation, name: str) -> None:
+        self.simulation = simulation
         self.name = name
-        self.book = LoadBook("here", random.Random(site.rng.random()), TargetLimits(name))
-        s = site.scenario
+        self.tracker = LoadBook("here", random.Random(simulation.rng.random()), TargetLimits(name))
+        s = simulation.scenario
         self.budget = SharedRetryBudget(s.retry_ratio, s.retry_slack, RETRY_WINDOW)
         self.budget.hosts = s.entry_hosts
 
 
 class Caller:
-    """One caller with its patience and its one return."""
+    """One caller, which has a timeout and retries once after a rejection."""
 
-    def __init__(self, site: Site, kind: Kind) -> None:
-        self._site = site
+    def __init__(self, simulation: Simulation, kind: RequestKind) -> None:
+        self._simulation = simulation
         self._kind = kind
-        self._asked_at = site.clock.now
-        self._returns = 1
-        self._refusals = 0
-        self._ended = False
+        self._first_sent_at = simulation.clock.now
+        self._retries_left = 1
+        self._rejections = 0
+        self._finished = False
         self.first_event_at: float | None = None
         self._last_event_at: float | None = None
-        self._longest_pause = 0.0
-        rng, sigma = site.rng, math.sqrt(math.log(1 + kind.spread**2))
-        drawn = [math.exp(rng.gauss(-(sigma**2) / 2, sigma)) for _ in range(2)]
-        self.prompt = max(1, round(kind.prompt * min(4.0, drawn[0])))
-        self.events = max(1, round(kind.events * min(4.0, drawn[1])))
+        self._longest_gap = 0.0
+        rng, sigma = simulation.rng, math.sqrt(math.log(1 + kind.spread**2))
+        factors = [math.exp(rng.gauss(-(sigma**2) / 2, sigma)) for _ in range(2)]
+        self.prompt = max(1, round(kind.prompt * min(4.0, factors[0])))
+        self.events = max(1, round(kind.events * min(4.0, factors[1])))
         self.kind = kind
 
-    def ask(self) -> None:
-        """Ask an entry host."""
-        exchange = Exchange(self._site, self._site.rng.choice(self._site.hosts), self)
-        gap = max(2.0, 4 * self._kind.goal, 8 * self._kind.pause)
-        asked_at = self._site.clock.now
+    def send(self) -> None:
+        """Send an attempt to a random entry host."""
+        entry_request = EntryRequest(
+            self._simulation, self._simulation.rng.choice(self._simulation.hosts), self
+        )
+        max_gap = max(2.0, 4 * self._kind.goal, 8 * self._kind.pause)
+        sent_at = self._simulation.clock.now
 
-        def watch() -> None:
-            if self._ended or exchange.over:
+        def check_timeout() -> None:
+            if self._finished or entry_request.ended:
                 return
-            seen = max(asked_at, self._last_event_at or 0.0)
-            left = min(seen + gap, self._asked_at + self._kind.patience) - self._site.clock.now
-            if left <= 0:
-                exchange.leave()
-                self._end("failed")
+            active_at = max(sent_at, self._last_event_at or 0.0)
+            time_left = (
+                min(active_at + max_gap, self._first_sent_at + self._kind.patience)
+                - self._simulation.clock.now
+            )
+            if time_left <= 0:
+                entry_request.cancel()
+                self._finish("failed")
             else:
-                self._site.clock.later(left, watch)
+                self._simulation.clock.call_later(time_left, check_timeout)
 
-        exchange.begin(self._refusals > 0)
-        self._site.clock.later(gap, watch)
+        entry_request.begin(self._rejections > 0)
+        self._simulation.clock.call_later(max_gap, check_timeout)
 
     @property
     def on_time_until(self) -> float:
         """Return the time until which the first event is on time."""
-        return self._asked_at + self._kind.goal
-
-    def refused(self, after: float) -> None:
-        """Take a refusal."""
-        self._refusals += 1
-        left = self._asked_at + self._kind.patience - self._site.clock.now
-        if self._returns and left > 0:
-            self._returns -= 1
-            self._site.clock.later(min(after, left / 3) + WAY, self.ask)
+        return self._first_sent_at + self._kind.goal
+
+    def on_rejected(self, retry_after: float) -> None:
+        """Retry once after a rejection if the timeout allows; otherwise give up."""
+        self._rejections += 1
+        time_left = self._first_sent_at + self._kind.patience - self._simulation.clock.now
+        if self._retries_left and time_left > 0:
+            self._retries_left -= 1
+            self._simulation.clock.call_later(
+                min(retry_after, time_left / 3) + NETWORK_DELAY, self.send
+            )
         else:
-            self._end("refused")
+            self._finish("refused")
 
-    def event(self) -> None:
-        """Take an event."""
-        now = self._site.clock.now
+    def on_event(self) -> None:
+        """Record the time of an event and the longest gap."""
+        now = self._simulation.clock.now
         if self.first_event_at is None:
             self.first_event_at = now
         if self._last_event_at is not None:
-            self._longest_pause = max(self._longest_pause, now - self._last_event_at)
+            self._longest_gap = max(self._longest_gap, now - self._last_event_at)
         self._last_event_at = now
 
-    def done(self) -> None:
-        """Take the end of a whole answer."""
+    def on_complete(self) -> None:
+        """Record a complete answer, which is on time or late."""
         assert self.first_event_at is not None
-        punctual = self.first_event_at <= self.on_time_until
-        steady = self._longest_pause <= self._kind.pause
-        self._end("on time" if punctual and steady else "late")
+        starts_on_time = self.first_event_at <= self.on_time_until
+        without_gaps = self._longest_gap <= self._kind.pause
+        self._finish("on time" if starts_on_time and without_gaps else "late")
 
-    def cut(self) -> None:
-        """Take an answer that ends early."""
-        self._end("failed")
+    def on_truncated(self) -> None:
+        """Record an answer that ended early as failed."""
+        self._finish("failed")
 
-    def _end(self, outcome: str) -> None:
-        if self._ended:
+    def _finish(self, outcome: str) -> None:
+        if self._finished:
             return
-        self._ended = True
-        first = None if self.first_event_at is None else self.first_event_at - self._asked_at
-        end = End(self._kind, self._asked_at, outcome, first, self._refusals)
-        self._site.ends.append(end)
+        self._finished = True
+        first = None if self.first_event_at is None else self.first_event_at - self._first_sent_at
+        result = CallerResult(self._kind, self._first_sent_at, outcome, first, self._rejections)
+        self._simulation.results.append(result)
 
 
-class Exchange:
-    """One attempt of a caller at one entry host, over one or two groups."""
+class EntryRequest:
+    """One attempt of a caller at an entry host, which sends it to at most two groups."""
 
-    def __init__(self, site: Site, host: EntryHost, caller: Caller) -> None:
-        self._site = site
+    def __init__(self, simulation: Simulation, host: EntryHost, caller: Caller) -> None:
+        self._simulation = simulation
         self._host = host
         self._caller = caller
         self._tried: set[str] = set()
-        self._arrived = 0
-        self._returned = False
-        self._work: Work | None = None
+        self._attempts_sent = 0
+        self._is_retry = False
+        self._engine_request: EngineRequest | None = None
         self._target = ""
-        self._written = 0
-        self._heard = False
-        self._on_trial = False
-        self._progressed = self._sent_at = site.clock.now
-        self.over = False
+        self._events_sent = 0
+        self._answered = False
+        self._is_backoff_trial = False
+        self._progressed_at = self._sent_at = simulation.clock.now
+        self.ended = False
         self._route = _route(caller.kind)
 
-    def begin(self, returned: bool) -> None:
-        """Begin."""
-        self._returned = returned
-        self._host.budget.request(self._site.clock.now)
+    def begin(self, is_retry: bool) -> None:
+        """Count the request in the retry budget and send it to a group."""
+        self._is_retry = is_retry
+        self._host.budget.request(self._simulation.clock.now)
         self._send()
 
-    def leave(self) -> None:
-        """The caller left."""
+    def cancel(self) -> None:
+        """Release the group after the caller has disconnected."""
         self._release()
-        self.over = True
+        self.ended = True
 
-    def _ask(self) -> Ask:
-        stands = standing(self._returned, self._arrived, self._written > 0)
-        return Ask(stands, self._tried, self._caller.on_time_until)
+    def _request(self) -> PlacementRequest:
+        request_class = standing(self._is_retry, self._attempts_sent, self._events_sent > 0)
+        return PlacementRequest(request_class, self._tried, self._caller.on_time_until)
 
     def _send(self) -> None:
-        if self.over:
+        if self.ended:
             return
-        site, now, ask = self._site, self._site.clock.now, self._ask()
-        candidates = site.visible[self._caller.kind.model]
-        found = site.policy.choose(self._host.book, candidates, ask, now)
-        if found is None and now < site.policy.hold_until(ask):
-            site.clock.later(HOLD_STEP, self._send)
+        simulation, now, request = self._simulation, self._simulation.clock.now, self._request()
+        candidates = simulation.visible[self._caller.kind.model]
+        chosen = simulation.policy.choose(self._host.tracker, candidates, request, now)
+        if chosen is None and now < simulation.policy.hold_until(request):
+            simulation.clock.call_later(HOLD_INTERVAL, self._send)
             return
-        if found is None:
-            self._refuse(candidates, now)
+        if chosen is None:
+            self._reject(candidates, now)
             return
-        self._target, self._arrived = found.target, self._arrived + 1
-        self._tried.add(found.target)
-        self._host.book.limits.take(found.lives, now)
-        self._on_trial = self._host.book.backoffs.take(found.target)
-        self._host.book.begin(found.target)
-        left = self._caller.events - self._written
-        prompt = self._caller.prompt + self._written * site.scenario.engine.stride
-        urgency = site.policy.urgency(ask, now)
-        work = Work(
-            urgency, prompt, left, self._shown, self._done, self._host.name, self._turned_away
+        self._target, self._attempts_sent = chosen.target, self._attempts_sent + 1
+        self._tried.add(chosen.target)
+        self._host.tracker.limits.take(chosen.lives, now)
+        self._is_backoff_trial = self._host.tracker.backoffs.take(chosen.target)
+        self._host.tracker.begin(chosen.target)
+        events_left = self._caller.events - self._events_sent
+        prompt = self._caller.prompt + self._events_sent * simulation.scenario.engine.stride
+        queue_rank = simulation.policy.queue_rank(request, now)
+        engine_request = EngineRequest(
+            queue_rank,
+            prompt,
+            events_left,
+            self._on_event,
+            self._on_end,
+            self._host.name,
+            self._on_rejected,
+        )
+        self._engine_request = engine_request
+        self._progressed_at = self._sent_at = now
+        self._answered = False
+        group = simulation.group_by_name[chosen.target]
+        simulation.clock.call_later(NETWORK_DELAY, lambda: group.submit(engine_request))
+        simulation.clock.call_later(
+            stall_after(self._route, self._events_sent > 0),
+            lambda: self._check_stall(engine_request),
         )
-        self._work = work
-        self._progressed = self._sent_at = now
-        self._heard = False
-        group = site.group_by_name[found.target]
-        site.clock.later(WAY, lambda: group.take(work))
-        site.clock.later(stall_after(self._route, self._written > 0), lambda: self._look(work))
-
-    def _refuse(self, candidates: Sequence[Candidate], now: float) -> None:
-        self.over = True
-        if self._written:
-            self._caller.cut()
+
+    def _reject(self, candidates: Sequence[Candidate], now: float) -> None:
+        self.ended = True
+        if self._events_sent:
+            self._caller.on_truncated()
             return
-        if not self._arrived:
-            self._host.book.turn_away(self._caller.kind.model, now)
-        limited_for = self._host.book.limited_for(candidates, self._caller.kind.model, now)
-        backoff_left = self._host.book.backoff_left(candidates, now)
-        after = come_back(bool(candidates), self._site.rng, limited_for, backoff_left)
-        self._caller.refused(after)
-
-    def _turned_away(self, backoff: float) -> None:
-        """Take a group's refusal on its way back."""
-        self._site.clock.later(WAY, lambda: self._go_elsewhere(backoff))
-
-    def _go_elsewhere(self, backoff: float) -> None:
-        if self.over:
+        if not self._attempts_sent:
+            self._host.tracker.turn_away(self._caller.kind.model, now)
+        limited_for = self._host.tracker.limited_for(candidates, self._caller.kind.model, now)
+        backoff_left = self._host.tracker.backoff_left(candidates, now)
+        retry_after = come_back(bool(candidates), self._simulation.rng, limited_for, backoff_left)
+        self._caller.on_rejected(retry_after)
+
+    def _on_rejected(self, backoff: float) -> None:
+        """Handle the rejection of a group after the network delay."""
+        self._simulation.clock.call_later(NETWORK_DELAY, lambda: self._retry_elsewhere(backoff))
+
+    def _retry_elsewhere(self, backoff: float) -> None:
+        if self.ended:
             return
-        now, book, target = self._site.clock.now, self._host.book, self._target
-        if backoff and self._site.policy.hears_backoffs:
-            book.backoffs.ask(target, backoff, now)
+        now, tracker, target = self._simulation.clock.now, self._host.tracker, self._target
+        if backoff and self._simulation.policy.honours_backoffs:
+            tracker.backoffs.ask(target, backoff, now)
         else:
-            book.suspect(target, now)
+            tracker.suspect(target, now)
         self._release()
-        if self._arrived >= self._route.max_attempts or not self._host.budget.take(now):
-            self._refuse(self._site.visible[self._caller.kind.model], now)
+        if self._attempts_sent >= self._route.max_attempts or not self._host.budget.take(now):
+            self._reject(self._simulation.visible[self._caller.kind.model], now)
             return
         self._send()
 
-    def _shown(self) -> None:
-        now, target = self._site.clock.now, self._target
-        if not self._heard:
-            self._heard = True
-            if self._on_trial:
-                self._host.book.backoffs.trial_taken(target, now)
-            named = self._site.group_by_name[target].limit
-            limits = self._host.book.limits
-            limits.answered(target, named, Asked.REQUEST, self._sent_at, now)
-        if not self._written:
-            self._site.policy.first_event(target, now <= self._caller.on_time_until)
-        self._written += 1
-        self._progressed = now
-        self._host.book.progress(target, now)
-        self._caller.event()
-
-    def _done(self) -> None:
+    def _on_event(self) -> None:
+        now, target = self._simulation.clock.now, self._target
+        if not self._answered:
+            self._answered = True
+            if self._is_backoff_trial:
+                self._host.tracker.backoffs.trial_taken(target, now)
+            stated = self._simulation.group_by_name[target].limit
+            limits = self._host.tracker.limits
+            limits.answered(target, stated, Asked.REQUEST, self._sent_at, now)
+        if not self._events_sent:
+            self._simulation.policy.record_first_event(target, now <= self._caller.on_time_until)
+        self._events_sent += 1
+        self._progressed_at = now
+        self._host.tracker.progress(target, now)
+        self._caller.on_event()
+
+    def _on_end(self) -> None:
         self._release()
-        self.over = True
-        self._caller.done()
+        self.ended = True
+        self._caller.on_complete()
 
     def _release(self) -> None:
-        if self._work is not None:
-            self._work.gone = True
-            self._work = None
-            self._host.book.end(self._target)
-            if self._on_trial:
-                self._host.book.backoffs.trial_ended(self._target)
-                self._on_trial = False
-
-    def _look(self, work: Work) -> None:
-        """Move on from a group that shows nothing."""
-        if work is not self._work:
+        if self._engine_request is not None:
+            self._engine_request.finished = True
+            self._engine_request = None
+            self._host.tracker.end(self._target)
+            if self._is_backoff_trial:
+                self._host.tracker.backoffs.trial_ended(self._target)
+                self._is_backoff_trial = False
+
+    def _check_stall(self, engine_request: EngineRequest) -> None:
+        """Retry elsewhere if the group has stalled and another one has capacity."""
+        if engine_request is not self._engine_request:
             return
-        now, book = self._site.clock.now, self._host.book
-        stall = stall_after(self._route, self._written > 0)
-        idle = now - self._progressed
-        if idle < stall - 1e-9:
-            self._site.clock.later(stall - idle, lambda: self._look(work))
+        now, tracker = self._simulation.clock.now, self._host.tracker
+        max_idle = stall_after(self._route, self._events_sent > 0)
+        idle = now - self._progressed_at
+        if idle < max_idle - 1e-9:
+            self._simulation.clock.call_later(
+                max_idle - idle, lambda: self._check_stall(engine_request)
+            )
             return
-        if book.goes_on(self._target, now, stall) or not self._may_move(now):
-            self._site.clock.later(0.02, lambda: self._look(work))
+        if tracker.goes_on(self._target, now, max_idle) or not self._may_retry_elsewhere(now):
+            self._simulation.clock.call_later(0.02, lambda: self._check_stall(engine_request))
             return
-        book.suspect(self._target, now)
+        tracker.suspect(self._target, now)
         self._release()
         self._host.budget.take(now)
         self._send()
 
-    def _may_move(self, now: float) -> bool:
-        if self._arrived >= self._route.max_attempts or self._host.budget.left(now) < 1.0:
+    def _may_retry_elsewhere(self, now: float) -> bool:
+        if self._attempts_sent >= self._route.max_attempts or self._host.budget.left(now) < 1.0:
             return False
-        candidates = self._site.visible[self._caller.kind.model]
-        book = self._host.book
-        sound = [c for c in candidates if not book.is_suspect(c.target, now)]
-        return self._site.policy.choose(book, sound, self._ask(), now) is not None
+        candidates = self._simulation.visible[self._caller.kind.model]
+        tracker = self._host.tracker
+        healthy = [c for c in candidates if not tracker.is_suspect(c.target, now)]
+        return self._simulation.policy.choose(tracker, healthy, self._request(), now) is not None
 
 
-def _head(name: str, slots: int) -> TargetHost:
+def _target_host(name: str, slots: int) -> TargetHost:
     return TargetHost(Instance(name), "pool", "10.0.0.1:1", "here", False, slots, "d")
 
 
-def _route(kind: Kind) -> Route:
+def _route(kind: RequestKind) -> Route:
     return Route(
         kind.name,
         "",
@@ -410,11 +441,13 @@
     )
 
 
-def worth(ends: Sequence[End]) -> float:
-    """Return the worth earned for each worth owed."""
-    by_outcome: dict[str, Callable[[Kind], float]] = {
+def earned_share(results: Sequence[CallerResult]) -> float:
+    """Return the value earned, as a fraction of the value if all answers were on time."""
+    value_by_outcome: dict[str, Callable[[RequestKind], float]] = {
         "on time": lambda k: k.worth,
         "late": lambda k: k.late_worth,
     }
-    earned = sum(by_outcome[e.outcome](e.kind) for e in ends if e.outcome in by_outcome)
-    return earned / sum(e.kind.worth for e in ends)
+    earned = sum(
+        value_by_outcome[r.outcome](r.kind) for r in results if r.outcome in value_by_outcome
+    )
+    return earned / sum(r.kind.worth for r in results)
--- a/dev/oleanderhill_dev/policy_entry.py
+++ b/dev/oleanderhill_dev/policy_entry.py
@@ -1,4 +1,4 @@
-"""An entry host with a baseline in the place of the product's choice of a group."""
+"""Runs an entry host with a baseline policy in place of the product's choice of a group."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from oleanderhill.routing.router import Evidence, Router
 from oleanderhill.settings.checking import load_boot
 
-_turn = itertools.count()
+_round_robin_index = itertools.count()
 
 
-def _random(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
-    return routing._choice(router._rng.choice(roomy), "baseline random")
+def _random(router: Router, available: list[Evidence], wanted: Any) -> Any:
+    return routing._choice(router._rng.choice(available), "baseline random")
 
 
-def _round_robin(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
-    ordered = sorted(roomy, key=lambda e: e.view.group)
-    return routing._choice(ordered[next(_turn) % len(ordered)], "baseline round robin")
+def _round_robin(router: Router, available: list[Evidence], wanted: Any) -> Any:
+    ordered = sorted(available, key=lambda e: e.view.group)
+    return routing._choice(ordered[next(_round_robin_index) % len(ordered)], "baseline round robin")
 
 
-def _least_in_flight(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
-    flying = router.in_flight_by_group
-    best = min(roomy, key=lambda e: (flying.get(e.view.group, 0), router._rng.random()))
+def _least_in_flight(router: Router, available: list[Evidence], wanted: Any) -> Any:
+    in_flight = router.in_flight_by_group
+    best = min(available, key=lambda e: (in_flight.get(e.view.group, 0), router._rng.random()))
     return routing._choice(best, "baseline least in flight")
 
 
-def _reported(router: Router, roomy: list[Evidence], wanted: Any) -> Any:
-    best = min(roomy, key=lambda e: (e.view.running + e.view.waiting, e.view.group))
+def _least_reported_load(router: Router, available: list[Evidence], wanted: Any) -> Any:
+    best = min(available, key=lambda e: (e.view.running + e.view.waiting, e.view.group))
     return routing._choice(best, "baseline reported load")
 
 
@@ -40,18 +40,18 @@
     "random": _random,
     "round robin": _round_robin,
     "least in flight": _least_in_flight,
-    "reported load": _reported,
+    "reported load": _least_reported_load,
 }
 
 
 def run(boot: str, *, policy: str = "ours") -> None:
-    """Run an entry host.
+    """Run an entry host under a policy.
 
     :param boot: path of the boot file
-    :param policy: ``ours`` or one of the baselines
+    :param policy: ``ours`` for the product, or the name of a baseline
     """
     if policy != "ours":
-        setattr(Router, "_pick", BASELINES[policy])  # noqa: B010 - a method is replaced
+        setattr(Router, "_pick", BASELINES[policy])  # noqa: B010 - replaces a method
     asyncio.run(run_entry(load_boot(boot)))
 
 
