--- a/dev/oleanderhill_dev/fuzz_endings.py
+++ b/dev/oleanderhill_dev/fuzz_endings.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from oleanderhill.routing.endings import ENOUGH, EndingBook, EndingNews
+from oleanderhill.routing.crashes import MIN_CRASHES, CrashTracker, EndingNews
 
 STEP = 0.02
 """Seconds of virtual time in a step."""
@@ -94,7 +94,7 @@
     ) -> None:
         self._rng = random.Random(seed)
         self._crash_series = crash_series
-        self._trackers = [EndingBook() for _ in range(hosts)]
+        self._trackers = [CrashTracker() for _ in range(hosts)]
         self._started_at = [-DETECTION_SECONDS] * hosts
         self._incarnation = dict.fromkeys(range(targets), 0)
         self._down_until = dict.fromkeys(range(targets), 0.0)
@@ -164,7 +164,7 @@
             return
         load = Counter(r.target for r in self._runs)
         least_loaded = min(available, key=lambda t: (load[t], self._rng.random()))
-        target = self._rng.choice(available) if tracker.suspicion(identity) else least_loaded
+        target = self._rng.choice(available) if tracker.loss_count(identity) else least_loaded
         seconds = CRASH_DELAY if identity in self._crash_causing else REQUEST_SECONDS
         identified_at = self._identified_at.get(identity, float("inf"))
         if self._now > max(identified_at, self._started_at[host]) + DETECTION_SECONDS:
@@ -185,7 +185,9 @@
             self._record_quarantined(quarantined)
         for run in self._runs:
             if run.identity not in self._crash_causing:
-                self._trackers[run.host].lives(self._incarnation_of(run.target), self._now)
+                self._trackers[run.host].record_sign_of_life(
+                    self._incarnation_of(run.target), self._now
+                )
 
     def _crash(self, target: int) -> None:
         """Crash a target, so that all its requests are lost."""
@@ -196,7 +198,7 @@
         self._down_until[target] = self._now + RESTART_SECONDS
         for identity in {r.identity for r in lost} & set(self._crash_causing):
             self.observed.crashes[identity] += 1
-            if self.observed.crashes[identity] == ENOUGH:
+            if self.observed.crashes[identity] == MIN_CRASHES:
                 self._identified_at[identity] = self._now
         for run in lost:
             self._lose_request(run, incarnation)
@@ -224,12 +226,12 @@
     def _alive_check(self, host: int, target: int, incarnation: str) -> Callable[[float], None]:
         def check(now: float) -> None:
             if self._incarnation_of(target) == incarnation:
-                self._trackers[host].lives(incarnation, now, asked=True)
+                self._trackers[host].record_sign_of_life(incarnation, now, asked=True)
 
         return check
 
     def _on_ended(self, host: int, incarnation: str) -> None:
-        self._record_quarantined(self._trackers[host].over(incarnation, self._now))
+        self._record_quarantined(self._trackers[host].confirm_ended(incarnation, self._now))
 
     def _record_quarantined(self, quarantined: list[str]) -> None:
         self.observed.quarantined.update(quarantined)
@@ -258,7 +260,7 @@
                     )
         if rng.random() < 0.05 * STEP:
             host = rng.randrange(len(self._trackers))
-            self._trackers[host] = EndingBook()
+            self._trackers[host] = CrashTracker()
             self._started_at[host] = self._now
             self._runs = [r for r in self._runs if r.host != host]
         for tracker in self._trackers:
@@ -266,7 +268,7 @@
 
     def _send_updates(self, resend: bool) -> None:
         for sender, tracker in enumerate(self._trackers):
-            for update in tracker.news(str(sender), self._now, resend):
+            for update in tracker.pending_updates(str(sender), self._now, resend):
                 for host in range(len(self._trackers)):
                     if host != sender and self._rng.random() < 0.9:
                         self._schedule(
@@ -275,7 +277,7 @@
                         )
 
     def _deliver(self, host: int, update: EndingNews) -> None:
-        self._record_quarantined(self._trackers[host].hear(update, self._now))
+        self._record_quarantined(self._trackers[host].apply_peer_update(update, self._now))
 
 
 def broken(observed: Observations) -> list[str]:
--- a/dev/oleanderhill_dev/fuzz_limits.py
+++ b/dev/oleanderhill_dev/fuzz_limits.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from oleanderhill.routing.target_limits import LEAST_RATE, Asked, LimitNews, TargetLimits
+from oleanderhill.routing.target_limits import MIN_RATE, CallKind, LimitUpdate, TargetLimits
 
 STEP = 0.02
 """Seconds of virtual time in a step."""
@@ -195,8 +195,8 @@
             if not self._is_running(host):
                 continue
             has_peers = self._now - self._peer_update_at[host] < PEER_TIMEOUT
-            limits.reach(self._views[host], has_peers, self._now)
-            updates = limits.news(self._now)
+            limits.update_hosts(self._views[host], has_peers, self._now)
+            updates = limits.pending_updates(self._now)
             for other in range(len(self._limits)):
                 partitioned = self._now < max(
                     self._partitioned_until[host], self._partitioned_until[other]
@@ -210,10 +210,10 @@
                         self._rng.uniform(0.0, 0.15), partial(self._deliver, other, updates)
                     )
 
-    def _deliver(self, host: int, updates: Sequence[LimitNews]) -> None:
+    def _deliver(self, host: int, updates: Sequence[LimitUpdate]) -> None:
         if self._is_running(host):
             for update in updates:
-                self._limits[host].hear(update, lambda incarnation: True, self._now)
+                self._limits[host].apply_peer_update(update, lambda incarnation: True, self._now)
 
     def _generate_requests(self) -> None:
         if self._idle_period[0] <= self._now < self._idle_period[1]:
@@ -252,7 +252,7 @@
             return
         if rate is not None and self._first_stated_at[int(incarnation)] is None:
             self._first_stated_at[int(incarnation)] = self._now
-        limits.answered(incarnation, rate, Asked.REQUEST, sent_at, self._now)
+        limits.answered(incarnation, rate, CallKind.REQUEST, sent_at, self._now)
 
     # Oracle
 
@@ -317,7 +317,7 @@
 
 def _max_probe_delay(rate: float | None) -> float:
     """Return the seconds within which a target must have been probed again at a rate."""
-    return 3.0 if rate is None else 3.0 + 2 / max(rate, LEAST_RATE)
+    return 3.0 if rate is None else 3.0 + 2 / max(rate, MIN_RATE)
 
 
 def broken(violations: Violations) -> bool:
--- a/dev/oleanderhill_dev/model/policies.py
+++ b/dev/oleanderhill_dev/model/policies.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import NamedTuple, Protocol
 
-from oleanderhill.serving.placing import Candidate, LoadBook
-from oleanderhill.serving.standing import ROOM_AT_ENGINE, Room, Standing
+from oleanderhill.serving.admission_class import ENGINE_QUEUE_LIMITS, AdmissionClass, QueueLimit
+from oleanderhill.serving.placement import Candidate, LoadTracker
 
 
 class PlacementRequest(NamedTuple):
@@ -17,7 +17,7 @@
     :param on_time_until: time until which the first event is on time
     """
 
-    standing: Standing
+    standing: AdmissionClass
     tried: Collection[str]
     on_time_until: float
 
@@ -30,7 +30,7 @@
 
     def choose(
         self,
-        tracker: LoadBook,
+        tracker: LoadTracker,
         candidates: Sequence[Candidate],
         request: PlacementRequest,
         now: float,
@@ -51,18 +51,18 @@
     """The policy of the product."""
 
     name = "shipped"
-    limits_by_class = ROOM_AT_ENGINE
+    limits_by_class = ENGINE_QUEUE_LIMITS
     honours_backoffs = True
 
     def choose(
         self,
-        tracker: LoadBook,
+        tracker: LoadTracker,
         candidates: Sequence[Candidate],
         request: PlacementRequest,
         now: float,
     ) -> Candidate | None:
         return tracker.choose(
-            candidates, request.tried, now, self.limits_by_class[request.standing].places
+            candidates, request.tried, now, self.limits_by_class[request.standing].max_load
         )
 
     def hold_until(self, request: PlacementRequest) -> float:
@@ -80,9 +80,9 @@
 
     name = "long queue for retries"
     limits_by_class = {
-        Standing.BEGUN: Room(1.8, 0),
-        Standing.FRESH: Room(1.2, 0),
-        Standing.LATE: Room(1.8, 0),
+        AdmissionClass.BEGUN: QueueLimit(1.8, 0),
+        AdmissionClass.FRESH: QueueLimit(1.2, 0),
+        AdmissionClass.LATE: QueueLimit(1.8, 0),
     }
 
 
@@ -90,7 +90,7 @@
     """Queue two requests of any class at each group, in the order of arrival."""
 
     name = "queue of two for all"
-    limits_by_class = dict.fromkeys(Standing, Room(1.2, 0))
+    limits_by_class = dict.fromkeys(AdmissionClass, QueueLimit(1.2, 0))
 
 
 class HeldForASlot(Shipped):
@@ -103,7 +103,7 @@
     def hold_until(self, request: PlacementRequest) -> float:
         return (
             request.on_time_until - self.MIN_FIRST_EVENT_SECONDS
-            if request.standing == Standing.FRESH
+            if request.standing == AdmissionClass.FRESH
             else 0.0
         )
 
@@ -115,7 +115,7 @@
 
     def choose(
         self,
-        tracker: LoadBook,
+        tracker: LoadTracker,
         candidates: Sequence[Candidate],
         request: PlacementRequest,
         now: float,
@@ -139,7 +139,7 @@
 
     def choose(
         self,
-        tracker: LoadBook,
+        tracker: LoadTracker,
         candidates: Sequence[Candidate],
         request: PlacementRequest,
         now: float,
@@ -154,7 +154,7 @@
 
     def choose(
         self,
-        tracker: LoadBook,
+        tracker: LoadTracker,
         candidates: Sequence[Candidate],
         request: PlacementRequest,
         now: float,
@@ -186,7 +186,7 @@
 
     def choose(
         self,
-        tracker: LoadBook,
+        tracker: LoadTracker,
         candidates: Sequence[Candidate],
         request: PlacementRequest,
         now: float,
@@ -221,7 +221,7 @@
 
 
 def _choose_least_busy(
-    tracker: LoadBook,
+    tracker: LoadTracker,
     candidates: Sequence[Candidate],
     request: PlacementRequest,
     now: float,
--- a/dev/oleanderhill_dev/model/site.py
+++ b/dev/oleanderhill_dev/model/site.py
@@ -9,12 +9,12 @@
 from typing import NamedTuple
 
 from oleanderhill.groups.inventory import Instance, TargetHost
-from oleanderhill.routing.target_limits import Asked, TargetLimits
-from oleanderhill.serving.comeback import come_back
-from oleanderhill.serving.patience import stall_after
-from oleanderhill.serving.placing import Candidate, LoadBook
+from oleanderhill.routing.target_limits import CallKind, TargetLimits
+from oleanderhill.serving.admission_class import admission_class
+from oleanderhill.serving.placement import Candidate, LoadTracker
 from oleanderhill.serving.retries import SharedRetryBudget
-from oleanderhill.serving.standing import standing
+from oleanderhill.serving.retry_delay import retry_delay
+from oleanderhill.serving.stall_timeout import stall_timeout_for
 from oleanderhill.settings.catalog import Repeatable, Route
 
 from .clockwork import VirtualClock
@@ -141,16 +141,20 @@
                 dict(tracker.own),
                 tracker.own_suspects(now),
                 tracker.own_progress(now),
-                tracker.own_turned_away(now),
+                tracker.own_rejections(now),
             )
-            host.tracker.limits.reach(names, True, now)
-            limit_updates, backoffs = host.tracker.limits.news(now), tracker.own_backoffs(now)
+            host.tracker.limits.update_hosts(names, True, now)
+            limit_updates, backoffs = host.tracker.limits.pending_updates(
+                now
+            ), tracker.own_backoffs(now)
             for other in self.hosts:
                 if other is not host and self.rng.random() >= self.scenario.report_loss:
-                    other.tracker.hear(host.name, *load_report, now)
-                    other.tracker.hear_backoffs(backoffs, now)
+                    other.tracker.apply_peer_update(host.name, *load_report, now)
+                    other.tracker.apply_peer_backoffs(backoffs, now)
                     for update in limit_updates:
-                        other.tracker.limits.hear(update, lambda incarnation: True, now)
+                        other.tracker.limits.apply_peer_update(
+                            update, lambda incarnation: True, now
+                        )
         if now < self.scenario.seconds + 10.0:
             self.clock.call_later(REPORT_INTERVAL, self._report)
 
@@ -161,7 +165,9 @@
     def __init__(self, simulation: Simulation, name: str) -> None:
         self.simulation = simulation
         self.name = name
-        self.tracker = LoadBook("here", random.Random(simulation.rng.random()), TargetLimits(name))
+        self.tracker = LoadTracker(
+            "here", random.Random(simulation.rng.random()), TargetLimits(name)
+        )
         s = simulation.scenario
         self.budget = SharedRetryBudget(s.retry_ratio, s.retry_slack, RETRY_WINDOW)
         self.budget.hosts = s.entry_hosts
@@ -288,7 +294,7 @@
         self.ended = True
 
     def _request(self) -> PlacementRequest:
-        request_class = standing(self._is_retry, self._attempts_sent, self._events_sent > 0)
+        request_class = admission_class(self._is_retry, self._attempts_sent, self._events_sent > 0)
         return PlacementRequest(request_class, self._tried, self._caller.on_time_until)
 
     def _send(self) -> None:
@@ -305,7 +311,7 @@
             return
         self._target, self._attempts_sent = chosen.target, self._attempts_sent + 1
         self._tried.add(chosen.target)
-        self._host.tracker.limits.take(chosen.lives, now)
+        self._host.tracker.limits.take(chosen.incarnations, now)
         self._is_backoff_trial = self._host.tracker.backoffs.take(chosen.target)
         self._host.tracker.begin(chosen.target)
         events_left = self._caller.events - self._events_sent
@@ -326,7 +332,7 @@
         group = simulation.group_by_name[chosen.target]
         simulation.clock.call_later(NETWORK_DELAY, lambda: group.submit(engine_request))
         simulation.clock.call_later(
-            stall_after(self._route, self._events_sent > 0),
+            stall_timeout_for(self._route, self._events_sent > 0),
             lambda: self._check_stall(engine_request),
         )
 
@@ -336,10 +342,10 @@
             self._caller.on_truncated()
             return
         if not self._attempts_sent:
-            self._host.tracker.turn_away(self._caller.kind.model, now)
+            self._host.tracker.count_rejection(self._caller.kind.model, now)
         limited_for = self._host.tracker.limited_for(candidates, self._caller.kind.model, now)
         backoff_left = self._host.tracker.backoff_left(candidates, now)
-        retry_after = come_back(bool(candidates), self._simulation.rng, limited_for, backoff_left)
+        retry_after = retry_delay(bool(candidates), self._simulation.rng, limited_for, backoff_left)
         self._caller.on_rejected(retry_after)
 
     def _on_rejected(self, backoff: float) -> None:
@@ -351,7 +357,7 @@
             return
         now, tracker, target = self._simulation.clock.now, self._host.tracker, self._target
         if backoff and self._simulation.policy.honours_backoffs:
-            tracker.backoffs.ask(target, backoff, now)
+            tracker.backoffs.extend(target, backoff, now)
         else:
             tracker.suspect(target, now)
         self._release()
@@ -365,10 +371,10 @@
         if not self._answered:
             self._answered = True
             if self._is_backoff_trial:
-                self._host.tracker.backoffs.trial_taken(target, now)
+                self._host.tracker.backoffs.trial_accepted(target, now)
             stated = self._simulation.group_by_name[target].limit
             limits = self._host.tracker.limits
-            limits.answered(target, stated, Asked.REQUEST, self._sent_at, now)
+            limits.answered(target, stated, CallKind.REQUEST, self._sent_at, now)
         if not self._events_sent:
             self._simulation.policy.record_first_event(target, now <= self._caller.on_time_until)
         self._events_sent += 1
@@ -395,14 +401,16 @@
         if engine_request is not self._engine_request:
             return
         now, tracker = self._simulation.clock.now, self._host.tracker
-        max_idle = stall_after(self._route, self._events_sent > 0)
+        max_idle = stall_timeout_for(self._route, self._events_sent > 0)
         idle = now - self._progressed_at
         if idle < max_idle - 1e-9:
             self._simulation.clock.call_later(
                 max_idle - idle, lambda: self._check_stall(engine_request)
             )
             return
-        if tracker.goes_on(self._target, now, max_idle) or not self._may_retry_elsewhere(now):
+        if tracker.recently_progressed(
+            self._target, now, max_idle
+        ) or not self._may_retry_elsewhere(now):
             self._simulation.clock.call_later(0.02, lambda: self._check_stall(engine_request))
             return
         tracker.suspect(self._target, now)
@@ -411,7 +419,10 @@
         self._send()
 
     def _may_retry_elsewhere(self, now: float) -> bool:
-        if self._attempts_sent >= self._route.max_attempts or self._host.budget.left(now) < 1.0:
+        if (
+            self._attempts_sent >= self._route.max_attempts
+            or self._host.budget.remaining(now) < 1.0
+        ):
             return False
         candidates = self._simulation.visible[self._caller.kind.model]
         tracker = self._host.tracker
--- a/dev/oleanderhill_dev/policy_entry.py
+++ b/dev/oleanderhill_dev/policy_entry.py
@@ -17,23 +17,25 @@
 
 
 def _random(router: Router, available: list[Evidence], wanted: Any) -> Any:
-    return routing._choice(router._rng.choice(available), "baseline random")
+    return routing._make_choice(router._rng.choice(available), "baseline random")
 
 
 def _round_robin(router: Router, available: list[Evidence], wanted: Any) -> Any:
     ordered = sorted(available, key=lambda e: e.view.group)
-    return routing._choice(ordered[next(_round_robin_index) % len(ordered)], "baseline round robin")
+    return routing._make_choice(
+        ordered[next(_round_robin_index) % len(ordered)], "baseline round robin"
+    )
 
 
 def _least_in_flight(router: Router, available: list[Evidence], wanted: Any) -> Any:
     in_flight = router.in_flight_by_group
     best = min(available, key=lambda e: (in_flight.get(e.view.group, 0), router._rng.random()))
-    return routing._choice(best, "baseline least in flight")
+    return routing._make_choice(best, "baseline least in flight")
 
 
 def _least_reported_load(router: Router, available: list[Evidence], wanted: Any) -> Any:
     best = min(available, key=lambda e: (e.view.running + e.view.waiting, e.view.group))
-    return routing._choice(best, "baseline reported load")
+    return routing._make_choice(best, "baseline reported load")
 
 
 BASELINES = {
--- a/dev/oleanderhill_dev/users/demo.py
+++ b/dev/oleanderhill_dev/users/demo.py
@@ -17,7 +17,7 @@
 REQUESTS = 60
 """Requests of the first part: enough that some are in flight when a host fails."""
 
-CRASH_CAUSING_BODY = b"crash-causing request"
+CRASH_CAUSING_BODY = b"ends whoever begins it"
 CRASH_CAUSING_REQUESTS = 10
 MAX_CRASHES = 6
 """Hosts that a request may crash: three until it is quarantined, and three more."""
--- a/dev/oleanderhill_dev/users/faulty_link.py
+++ b/dev/oleanderhill_dev/users/faulty_link.py
@@ -12,10 +12,10 @@
 class LinkState(StrEnum):
     """State of the link. Held bytes are forwarded once the link is healthy again."""
 
-    HEALTHY = "healthy"
+    HEALTHY = "sound"
     SLOW = "slow"
     SILENT = "silent"
-    REPLIES_HELD = "replies held"
+    REPLIES_HELD = "deaf"
     """Bytes to the target pass, bytes from the target are held."""
     REFUSING = "refusing"
 
