--- a/dev/oleanderhill_dev/bench.py
+++ b/dev/oleanderhill_dev/bench.py
@@ -11,9 +11,9 @@
 import defopt
 
 from oleanderhill.clients.httpcall import Call, HttpCaller, Observer
-from oleanderhill.settings.fleet import hash_of
+from oleanderhill.settings.fleet import hash_key
 
-from .bench_site import EntryAddress, Shape, Site
+from .bench_site import EntryAddress, Site, SiteConfig
 from .measuring import (
     cpu_seconds,
     histogram,
@@ -45,7 +45,7 @@
         },
         "accounts": {
             "a": {
-                "key_hashes": [hash_of(KEY)],
+                "key_hashes": [hash_key(KEY)],
                 "models": ["m"],
                 "services": ["desk"],
                 "requests_per_second": 100_000,
@@ -167,11 +167,11 @@
 
     async def _idle_cost(self, entry: EntryAddress, seconds: float) -> dict[str, Any]:
         pid = self.site.process_by_name[entry.host].pid
-        before = (await self.site.ask(entry.operators, "GET", "/v1/status"))["cost"]
+        before = (await self.site.call_json(entry.operators, "GET", "/v1/status"))["cost"]
         cpu = cpu_seconds(pid)
         await asyncio.sleep(seconds)
         used = cpu_seconds(pid) - cpu
-        after = (await self.site.ask(entry.operators, "GET", "/v1/status"))["cost"]
+        after = (await self.site.call_json(entry.operators, "GET", "/v1/status"))["cost"]
         sent = (after["peer_bytes_sent"] - before["peer_bytes_sent"]) / seconds
         return {
             "core_part": round(used / seconds, 4),
@@ -189,7 +189,7 @@
 
 async def run(folder: Path, program: list[str], quick: bool) -> dict[str, Any]:
     """Run the benchmark and return its figures."""
-    shape = Shape(
+    config = SiteConfig(
         ("hall", "hall", "hall"),
         {("hall", "fabric-a"): 4},
         pace=TOKEN_INTERVAL,
@@ -197,7 +197,7 @@
         capacity=200,
         host_prefix="bench",
     )
-    site = Site(shape, folder, program)
+    site = Site(config, folder, program)
     try:
         site.start()
         await asyncio.sleep(3.0)
@@ -206,7 +206,7 @@
         finished = site.run_command("settings", "put", "yard", str(tree))
         if finished.returncode:
             raise RuntimeError(finished.stderr)
-        await site.until_serving(4, 60)
+        await site.wait_until_serving(4, 60)
         bench = Bench(site)
         return {
             "control": await bench.control(5.0 if quick else 15.0),
@@ -215,7 +215,7 @@
             "tokens": await bench.tokens(STREAMS, 200 if quick else 500),
         }
     finally:
-        site.end()
+        site.stop()
 
 
 def main(
--- a/dev/oleanderhill_dev/bench_site.py
+++ b/dev/oleanderhill_dev/bench_site.py
@@ -20,7 +20,7 @@
 from typing import Any, NamedTuple
 
 from oleanderhill.clients.httpcall import Call, HttpCaller
-from oleanderhill.settings.fleet import hash_of
+from oleanderhill.settings.fleet import hash_key
 
 OPERATOR_KEY = "operator-key"
 _address_numbers = itertools.count()
@@ -39,19 +39,19 @@
     peers: str
 
 
-class Shape(NamedTuple):
+class SiteConfig(NamedTuple):
     """Describes a site to start.
 
-    :param entry_centres: data centre of each entry host
+    :param entry_data_centres: data centre of each entry host
     :param domains: number of engine hosts by (data centre, domain)
     :param pace: seconds between two tokens of a stream
     :param prefill: seconds to the first token without a cached prefix
     :param capacity: requests that an engine batches
     :param lag: delay of the platform's host list, in seconds
-    :param net: second octet of all loopback addresses, which keeps concurrent sites apart
+    :param second_octet: second octet of all loopback addresses, which keeps concurrent sites apart
     """
 
-    entry_centres: tuple[str, ...]
+    entry_data_centres: tuple[str, ...]
     domains: dict[tuple[str, str], int]
     services: int = 1
     pace: float = 0.02
@@ -61,7 +61,7 @@
     fencing: bool = True
     lag: float = 1.0
     host_prefix: str = "host"
-    net: int = 0
+    second_octet: int = 0
 
 
 class Site:
@@ -70,8 +70,8 @@
     :param program: command line of the oleanderhill program, such as ``["dist/oleanderhill"]``
     """
 
-    def __init__(self, shape: Shape, folder: Path, program: list[str]) -> None:
-        self.shape = shape
+    def __init__(self, config: SiteConfig, folder: Path, program: list[str]) -> None:
+        self.config = config
         self.folder = folder
         self.program = program
         self.process_by_name: dict[str, subprocess.Popen[bytes]] = {}
@@ -79,28 +79,30 @@
         self.address_by_engine: dict[str, str] = {}
         self.service_addresses: list[str] = []
         self.caller = HttpCaller()
-        self.platform = f"127.{shape.net}.0.1:18500"
+        self.platform = f"127.{config.second_octet}.0.1:18500"
         self._host_rows: list[list[str]] = []
         self._assign_addresses()
 
     def _assign_addresses(self) -> None:
-        for index, data_centre in enumerate(self.shape.entry_centres):
-            ip = f"127.{self.shape.net}.{10 + index}.1"
+        for index, data_centre in enumerate(self.config.entry_data_centres):
+            ip = f"127.{self.config.second_octet}.{10 + index}.1"
             self.entries.append(
                 EntryAddress(
                     f"entry-{index + 1}", data_centre, f"{ip}:7000", f"{ip}:7001", f"{ip}:7002"
                 )
             )
         number = 0
-        for (data_centre, domain), count in self.shape.domains.items():
+        for (data_centre, domain), count in self.config.domains.items():
             for _ in range(count):
                 number += 1
-                name = f"{self.shape.host_prefix}-{number:03d}"
-                address = f"127.{self.shape.net}.{100 + number // 200}.{1 + number % 200}:9000"
+                name = f"{self.config.host_prefix}-{number:03d}"
+                address = (
+                    f"127.{self.config.second_octet}.{100 + number // 200}.{1 + number % 200}:9000"
+                )
                 self.address_by_engine[name] = address
                 self._host_rows.append([name, address, domain, data_centre, "live"])
         self.service_addresses = [
-            f"127.{self.shape.net}.90.{n + 1}:9100" for n in range(self.shape.services)
+            f"127.{self.config.second_octet}.90.{n + 1}:9100" for n in range(self.config.services)
         ]
 
     def start(self) -> None:
@@ -109,7 +111,7 @@
         hosts = self.folder / "hosts.json"
         hosts.write_text(json.dumps(self._host_rows))
         self.spawn_dev(
-            "platform", "platform_standin", self.platform, str(hosts), "--lag", str(self.shape.lag)
+            "platform", "platform_standin", self.platform, str(hosts), "--lag", str(self.config.lag)
         )
         for name in self.address_by_engine:
             self.start_engine(name)
@@ -121,21 +123,21 @@
 
     def start_engine(self, name: str) -> None:
         """Start one engine stand-in."""
-        shape = self.shape
+        config = self.config
         self.spawn_dev(
             name,
             "engine_standin",
             name,
             self.address_by_engine[name],
             "--pace",
-            str(shape.pace),
+            str(config.pace),
             "--prefill",
-            str(shape.prefill),
+            str(config.prefill),
             "--capacity",
-            str(shape.capacity),
+            str(config.capacity),
             "--gigabytes-per-second",
-            str(shape.weights_gb_per_second),
-            "--fencing" if shape.fencing else "--no-fencing",
+            str(config.weights_gb_per_second),
+            "--fencing" if config.fencing else "--no-fencing",
             "--record",
             str(self.folder / f"{name}.jsonl"),
         )
@@ -156,14 +158,14 @@
             },
             "platform": self.platform,
             "peers": [e.peers for e in self.entries],
-            "operator_key_hash": hash_of(OPERATOR_KEY),
+            "operator_key_hash": hash_key(OPERATOR_KEY),
             "log": str(self.folder / f"{entry.host}.log"),
         }
         path = self.folder / f"{entry.host}.json"
         path.write_text(json.dumps(boot, indent=2))
         return str(path)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Kill all processes and wait for them, including stopped ones."""
         for process in self.process_by_name.values():
             with contextlib.suppress(ProcessLookupError):
@@ -194,14 +196,14 @@
             [*self.program, *arguments], env=env, capture_output=True, text=True, timeout=60
         )
 
-    async def ask(self, address: str, method: str, path: str, body: bytes = b"") -> Any:
+    async def call_json(self, address: str, method: str, path: str, body: bytes = b"") -> Any:
         """Make a call and return its decoded JSON, or ``None`` if it fails or the body is empty."""
         headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         result = await self.caller.call(Call(address, method, path, headers, body, timeout=5.0))
         reply = result.value_or(None)
         return None if reply is None or not reply.body else json.loads(reply.body)
 
-    async def until_serving(self, groups: int, seconds: float, entries: int = 0) -> float:
+    async def wait_until_serving(self, groups: int, seconds: float, entries: int = 0) -> float:
         """Wait until every entry host sends to this many groups; return the seconds waited.
 
         :param entries: number of entry hosts to ask, 0 for all; those without a process are skipped
@@ -217,7 +219,7 @@
 
     async def count_serving(self, entry: EntryAddress) -> int:
         """Return how many groups an entry host sends requests to, -1 if it does not answer."""
-        status = await self.ask(entry.operators, "GET", "/v1/status")
+        status = await self.call_json(entry.operators, "GET", "/v1/status")
         if status is None:
             return -1
         return sum(1 for g in status["groups"] if g["takes_requests"])
--- a/dev/oleanderhill_dev/capacity.py
+++ b/dev/oleanderhill_dev/capacity.py
@@ -30,10 +30,10 @@
 """Probes of a host each second."""
 
 VIEW_DOMAINS = 6
-FAR_VIEW_DOMAINS = 1
-PLANNER_EVERY = 2.0
+REMOTE_VIEW_DOMAINS = 1
+PLANNER_UPDATE_INTERVAL = 2.0
 SHARDS = 8
-BUILD_EVERY = 6.0
+MIN_BUILD_INTERVAL = 6.0
 DEMAND_FANOUT = 2
 
 CORE_BUDGET = 0.02
@@ -48,9 +48,9 @@
 GROUPS_OWNED = REPLICAS / NODES
 GROUPS_IN_VIEW = VIEW_DOMAINS * GROUPS_OF_A_DOMAIN
 FAR_CONTACTS = 9 * (DATA_CENTRES - 1)
-GROUPS_FAR = (DATA_CENTRES - 1) * FAR_VIEW_DOMAINS * GROUPS_OF_A_DOMAIN
+GROUPS_FAR = (DATA_CENTRES - 1) * REMOTE_VIEW_DOMAINS * GROUPS_OF_A_DOMAIN
 AUDIENCE = (
-    NODES_OF_A_CENTRE * VIEW_DOMAINS + FAR_CONTACTS * FAR_VIEW_DOMAINS
+    NODES_OF_A_CENTRE * VIEW_DOMAINS + FAR_CONTACTS * REMOTE_VIEW_DOMAINS
 ) / DOMAINS_OF_A_CENTRE
 
 
@@ -91,8 +91,8 @@
     changes = CHANGES_A_DAY / DAY
     subtree = ENTRIES / SUBTREES
     probes = GROUPS_OWNED * HOSTS_OF_A_GROUP * PROBES
-    heard = TICKS * (VIEW_DOMAINS + (DATA_CENTRES - 1) * FAR_VIEW_DOMAINS)
-    builds = min(changes, 1 / BUILD_EVERY)
+    heard = TICKS * (VIEW_DOMAINS + (DATA_CENTRES - 1) * REMOTE_VIEW_DOMAINS)
+    builds = min(changes, 1 / MIN_BUILD_INTERVAL)
     settings_cpu = changes * s.at("settings.check", subtree) + builds * s.at(
         "settings.build", ENTRIES
     )
@@ -130,7 +130,7 @@
             f"to {AUDIENCE:.0f} nodes, {evidence:.0f} bytes each",
             TICKS * domains_owned * s.at("steward.cpu", GROUPS_OF_A_DOMAIN) / 1e6,
             domains_owned * s.at("ledger.bytes", GROUPS_OF_A_DOMAIN) * 20 / 1024**2,
-            domains_owned * evidence * (TICKS * AUDIENCE + 1 / PLANNER_EVERY),
+            domains_owned * evidence * (TICKS * AUDIENCE + 1 / PLANNER_UPDATE_INTERVAL),
             "`steward`, `placement`, `orders`, `evidence`",
         ),
         Row(
@@ -145,7 +145,7 @@
         Row(
             "planner (one node of a data centre)",
             f"{GROUPS_OF_A_CENTRE:.0f} groups",
-            f"{DOMAINS_OF_A_CENTRE / PLANNER_EVERY:.0f} of evidence a second received",
+            f"{DOMAINS_OF_A_CENTRE / PLANNER_UPDATE_INTERVAL:.0f} of evidence a second received",
             s.at("planner.cpu", GROUPS_OF_A_CENTRE) / 1e6,
             s.at("planner.bytes", GROUPS_OF_A_CENTRE) * 5 / 1024**2,
             0.0,
--- a/dev/oleanderhill_dev/demo.py
+++ b/dev/oleanderhill_dev/demo.py
@@ -17,7 +17,7 @@
 
 from oleanderhill.clients.httpcall import Call, Observer
 
-from .bench_site import EntryAddress, Shape, Site, new_key
+from .bench_site import EntryAddress, Site, SiteConfig, new_key
 from .engine_standin import answer, token
 
 REQUESTS = 240
@@ -50,7 +50,7 @@
 
 def settings(clerk_key: str, gate_key: str, services: list[str]) -> dict[str, Any]:
     """Return the team's subtree."""
-    from oleanderhill.settings.fleet import hash_of
+    from oleanderhill.settings.fleet import hash_key
 
     return {
         "models": {
@@ -73,14 +73,14 @@
         },
         "accounts": {
             "clerks": {
-                "key_hashes": [hash_of(clerk_key)],
+                "key_hashes": [hash_key(clerk_key)],
                 "models": ["bale-reader"],
                 "services": ["yard-operations"],
                 "requests_per_second": 500,
                 "priority": 5,
             },
             "gate": {
-                "key_hashes": [hash_of(gate_key)],
+                "key_hashes": [hash_key(gate_key)],
                 "models": ["bale-reader"],
                 "services": ["yard-operations"],
                 "requests_per_second": 500,
@@ -178,15 +178,15 @@
 
 async def run_demo(folder: Path, program: list[str]) -> int:
     """Run the demo and return its exit code."""
-    shape = Shape(
+    config = SiteConfig(
         ("intake-hall", "intake-hall", "strip-hall"), {("intake-hall", "fabric-a"): 10}, services=1
     )
-    site = Site(shape, folder, program)
+    site = Site(config, folder, program)
     try:
         site.start()
         return await _run_steps(site)
     finally:
-        site.end()
+        site.stop()
 
 
 async def _run_steps(site: Site) -> int:
@@ -204,7 +204,7 @@
     for team, path in (("fleet", fleet), (TEAM, yard)):
         finished = site.run_command("settings", "put", team, str(path))
         report(f"settings put: {(finished.stdout or finished.stderr).strip()}")
-    report(f"2 groups of 4 hosts serve after {await site.until_serving(2, 40):.1f} s")
+    report(f"2 groups of 4 hosts serve after {await site.wait_until_serving(2, 40):.1f} s")
 
     callers = Callers(site, key)
     kills = asyncio.create_task(_kill_hosts(site, report))
@@ -215,7 +215,9 @@
         await asyncio.sleep(0.05)
     outcomes = await asyncio.gather(*tasks)
     await kills
-    report(f"2 groups serve again {await site.until_serving(2, 30):.1f} s after the last answer")
+    report(
+        f"2 groups serve again {await site.wait_until_serving(2, 30):.1f} s after the last answer"
+    )
     report(f"callers retried {callers.retries} times after a lost connection or a rejection")
     print(site.run_command("status").stdout, flush=True)
     return _summarize(site, outcomes, report)
@@ -223,7 +225,7 @@
 
 async def _wait_until_up(site: Site) -> None:
     for _ in range(100):
-        answers = [await site.ask(e.operators, "GET", "/v1/in-force") for e in site.entries]
+        answers = [await site.call_json(e.operators, "GET", "/v1/in-force") for e in site.entries]
         if all(a is not None for a in answers):
             return
         await asyncio.sleep(0.1)
@@ -232,7 +234,7 @@
 
 async def _kill_hosts(site: Site, report: Any) -> None:
     await asyncio.sleep(4.0)
-    status = await site.ask(site.entries[0].operators, "GET", "/v1/status")
+    status = await site.call_json(site.entries[0].operators, "GET", "/v1/status")
     victim = status["groups"][0]["hosts"][2]
     site.kill(victim)
     report(f"killed {victim}, a member of {status['groups'][0]['group']}")
@@ -240,7 +242,7 @@
     while await site.count_serving(site.entries[0]) >= 2:
         await asyncio.sleep(0.05)
     report(f"the group takes no requests {time.monotonic() - began:.1f} s after the kill")
-    took = await site.until_serving(2, 30, entries=1)
+    took = await site.wait_until_serving(2, 30, entries=1)
     report(f"repaired from a spare {took:.1f} s later")
     site.kill("entry-2")
     report("killed entry-2")
--- a/dev/oleanderhill_dev/domain_world.py
+++ b/dev/oleanderhill_dev/domain_world.py
@@ -16,12 +16,12 @@
 
 from oleanderhill import ownership
 from oleanderhill.domains import stewardship
-from oleanderhill.domains.ledger import holder_by_host
+from oleanderhill.domains.ledger import group_by_host
 from oleanderhill.domains.orders import OrderKey
 from oleanderhill.domains.placement import Policy
 from oleanderhill.domains.steward import TICK, DomainSteward
 from oleanderhill.domains.stewardship import decode_ledger
-from oleanderhill.kernel import Received
+from oleanderhill.kernel import PeerMessage
 from oleanderhill.members.membership import Gossip, Membership, Row
 from oleanderhill.routing.completeness import EVIDENCE_MAX_AGE
 from oleanderhill.routing.evidence import EvidenceTracker
@@ -34,7 +34,7 @@
     HostReport,
     HostState,
     Order,
-    SeenReport,
+    TimedReport,
     WantedGroup,
 )
 
@@ -168,7 +168,7 @@
         self.steward = DomainSteward(name, str(life), DOMAIN, world.policy, world.fencing)
         self.router = Router(CENTRE, rng)
         self.book = EvidenceTracker(self.router)
-        row = Row(name, name, CENTRE, int(world.now * 1000), 0, life=str(life))
+        row = Row(name, name, CENTRE, int(world.now * 1000), 0, run_id=str(life))
         self.membership = Membership(row, [n for n in world.names if n != name], rng, world.now)
         self.last_gossip = world.now
         self.probing: set[str] = set()
@@ -323,20 +323,20 @@
                 self._to_peer(node, send.address, send.message)
         steward = node.steward
         if (self.steps + node.number) % round(TICK / self.step_seconds) == 0:
-            steward.watch.hosts(
+            steward.watch.set_hosts(
                 HostEntry(h, h, DOMAIN, CENTRE, state) for h, state in self.listed.items()
             )
             leaving = (h for h, s in self.listed.items() if s == HostState.LEAVING)
             node.router.leaving_hosts = frozenset(leaving)
             steward.wanted = self.wanted
             live = node.membership.live(self.now)
-            steward.life_by_live = {h: r.life for h, r in live.items()}
-            steward.owner_heard_at = node.book.received_at_by_domain.get(DOMAIN, -1e9)
-            steward.settled = node.membership.settled(self.now)
+            steward.incarnation_by_host = {h: r.run_id for h, r in live.items()}
+            steward.owner_evidence_at = node.book.received_at_by_domain.get(DOMAIN, -1e9)
+            steward.settled = node.membership.startup_complete(self.now)
             self._perform(node, steward.tick(self.now))
             if steward.owned:
                 self._probe_all(node)
-                if steward.can_tell(self.now):
+                if steward.may_publish(self.now):
                     self._publish(node)
         for evidence, record in node.book.to_probe(self.now):
             if record.group not in node.probing:
@@ -351,12 +351,12 @@
                     self._call_store(node, effect)
                 case stewardship.SendOrder(order):
                     self._send_order(node, order)
-                case stewardship.AskTicket(key, _):
+                case stewardship.RequestTicket(key, _):
                     wait = self.rng.choice((0.0, 0.0, 0.5))
                     self._to_node(node, LATENCY, partial(self._ticket, node, key, wait))
 
     def _ticket(self, node: Node, key: OrderKey, wait: float) -> None:
-        node.steward.ticket(key, wait, self.now)
+        node.steward.apply_ticket(key, wait, self.now)
 
     def _call_store(self, node: Node, swap: stewardship.SwapLedger | None) -> None:
         store = self.store
@@ -364,7 +364,9 @@
 
         def answer(event: stewardship.StoreEvent, delay: float) -> None:
             self._to_node(
-                node, delay, lambda: self._perform(node, node.steward.store(event, self.now))
+                node,
+                delay,
+                lambda: self._perform(node, node.steward.apply_store_event(event, self.now)),
             )
 
         def arrive() -> None:
@@ -403,13 +405,13 @@
                 self._check_order(order)
                 engine.take(order, self.now, self.rng.choice(self.load_seconds))
 
-        self.at(self.rng.uniform(LATENCY, ownership.ORDER_LIFE - 0.1), arrive)
+        self.at(self.rng.uniform(LATENCY, ownership.ORDER_SEND_TIMEOUT - 0.1), arrive)
 
     def _probe(
         self,
         node: Node,
         host: str,
-        done: Callable[[SeenReport], None],
+        done: Callable[[TimedReport], None],
         refused: Callable[[str, float], None] | None = None,
     ) -> None:
         sent_at = self.now
@@ -420,7 +422,7 @@
                 return
             if engine.alive and not engine.paused:
                 report = engine.report()
-                self._to_node(node, LATENCY, lambda: done(SeenReport(report, sent_at)))
+                self._to_node(node, LATENCY, lambda: done(TimedReport(report, sent_at)))
             elif not engine.alive and engine.refuses and refused is not None:
                 self._to_node(node, LATENCY, lambda: refused(host, sent_at))
 
@@ -430,11 +432,11 @@
     def _probe_all(self, node: Node) -> None:
         for entry in node.steward.watch.to_probe(self.now):
             watch = node.steward.watch
-            self._probe(node, entry.host, watch.saw, watch.refused)
+            self._probe(node, entry.host, watch.apply_report, watch.record_refused_probe)
 
     def _self_probe(self, node: Node, evidence: Any, record: Any) -> None:
         node.probing.add(record.group)
-        seen: dict[str, SeenReport] = {}
+        seen: dict[str, TimedReport] = {}
         sent_at = self.now
         for member in record.members:
             self._probe(node, member.host, lambda s: seen.__setitem__(s.report.host, s))
@@ -448,7 +450,7 @@
     def _publish(self, node: Node) -> None:
         full = node.steward.evidence(CENTRE, self.now, True)
         node.book.learn(full, self.now)
-        version = (node.steward.mine.epoch, node.steward.ledger.version)
+        version = (node.steward.ownership_state.epoch, node.steward.ledger.version)
         evidence = full if node.told_version != version else full._replace(records=())
         node.told_version = version
         for name in self.names:
@@ -460,7 +462,7 @@
         stamp, life = self.now, node.life
 
         def arrive() -> None:
-            received = Received(node.name, node.name, life, stamp, self.now, body)
+            received = PeerMessage(node.name, node.name, life, stamp, self.now, body)
             if isinstance(body, Gossip):
                 peer.membership.receive(self.now, body)
             else:
@@ -469,13 +471,13 @@
         if self.linked(node.name, name):
             self._to_node(peer, LATENCY, arrive)
 
-    def _hear(self, peer: Node, body: DomainEvidence, received: Received) -> None:
+    def _hear(self, peer: Node, body: DomainEvidence, received: PeerMessage) -> None:
         if not peer.book.receive(body, received):
             return
         owner = self.nodes[received.sender]
 
         def asked() -> None:
-            if owner.steward.owned and owner.steward.can_tell(self.now):
+            if owner.steward.owned and owner.steward.may_publish(self.now):
                 full = owner.steward.evidence(CENTRE, self.now, True)
                 self._to_peer(owner, peer.name, full)
 
@@ -548,7 +550,7 @@
     def _check_ledger(self) -> None:
         ledger = decode_ledger(self.store.value, DOMAIN)
         members = [m.host for g in ledger.groups.values() for m in g.members]
-        if len(members) != len(set(members)) or len(holder_by_host(ledger)) != len(members):
+        if len(members) != len(set(members)) or len(group_by_host(ledger)) != len(members):
             raise ViolationError(f"a host is in two groups of the ledger: {members}")
 
     # Ends
--- a/dev/oleanderhill_dev/engine_farm.py
+++ b/dev/oleanderhill_dev/engine_farm.py
@@ -25,7 +25,7 @@
         member_checks = []
         for host, address in json.loads(engines).items():
             engine = Engine(host, True, pace, prefill, capacity, 100.0, "")
-            engine.prefix_limit = PREFIX_CACHE_SIZE
+            engine.prefix_cache_size = PREFIX_CACHE_SIZE
             ip, port = address.rsplit(":", 1)
             make_application(engine).listen(int(port), ip)
             member_checks.append(engine.check_members())
--- a/dev/oleanderhill_dev/engine_standin.py
+++ b/dev/oleanderhill_dev/engine_standin.py
@@ -77,7 +77,7 @@
         self.reported_load: tuple[float, int, int] = (0.0, 0, 0)
         """When the reported load was sampled, and the running and waiting requests then."""
         self.loads = 0
-        self.prefix_limit = PREFIX_CACHE_SIZE
+        self.prefix_cache_size = PREFIX_CACHE_SIZE
         self.tokens = 0
 
     def clear(self) -> None:
@@ -175,7 +175,7 @@
         is_cached = prefix in self.prefixes
         self.prefixes[prefix] = None
         self.prefixes.move_to_end(prefix)
-        if len(self.prefixes) > self.prefix_limit:
+        if len(self.prefixes) > self.prefix_cache_size:
             self.prefixes.popitem(last=False)
         return self.prefill * (0.2 if is_cached else 1.0)
 
--- a/dev/oleanderhill_dev/experiments.py
+++ b/dev/oleanderhill_dev/experiments.py
@@ -22,7 +22,7 @@
 
 from oleanderhill.domains import placement
 from oleanderhill.domains.placement import Dissolve, Situation
-from oleanderhill.types import GroupRecord, SeenReport, WantedGroup
+from oleanderhill.types import GroupRecord, TimedReport, WantedGroup
 
 from .domain_world import DomainWorld, spec
 
@@ -84,18 +84,18 @@
 _repair_one = placement._repair_one
 
 
-def _always_wait(s: Situation, record: GroupRecord, free: Sequence[SeenReport]) -> Any:
+def _always_wait(s: Situation, record: GroupRecord, free: Sequence[TimedReport]) -> Any:
     """Never replace: only take a member back that returned."""
     action = _repair_one(s, record, [])
     return None if isinstance(action, Dissolve) else action
 
 
-def _always_reform(s: Situation, record: GroupRecord, free: Sequence[SeenReport]) -> Any:
+def _always_reform(s: Situation, record: GroupRecord, free: Sequence[TimedReport]) -> Any:
     """Take a broken group apart at once and form it anew."""
     return Dissolve(record.group, "baseline")
 
 
-def _no_grace(s: Situation, record: GroupRecord, free: Sequence[SeenReport]) -> Any:
+def _no_grace(s: Situation, record: GroupRecord, free: Sequence[TimedReport]) -> Any:
     """Replace at the first silence."""
     return _repair_one(s._replace(policy=s.policy._replace(grace=0.0)), record, free)
 
--- a/dev/oleanderhill_dev/fuzz_endings.py
+++ b/dev/oleanderhill_dev/fuzz_endings.py
@@ -280,7 +280,7 @@
         self._record_quarantined(self._trackers[host].apply_peer_update(update, self._now))
 
 
-def broken(observed: Observations) -> list[str]:
+def violations(observed: Observations) -> list[str]:
     """Return a message for each violation that a run shows."""
     late = [
         f"{i} sent {n} times after it should have been quarantined"
@@ -296,10 +296,10 @@
     ]
 
 
-def play(seed: int, rows: bool = False) -> Observations:
+def simulate(seed: int, crash_series: bool = False) -> Observations:
     """Run a seed, which also sets the numbers of hosts, targets and crash-causing requests."""
     hosts, targets = (3, 5, 9)[seed % 3], (4, 8, 14)[seed // 3 % 3]
-    return Simulation(seed, hosts, targets, seed % 4, rows).run()
+    return Simulation(seed, hosts, targets, seed % 4, crash_series).run()
 
 
 def main() -> int:
@@ -307,7 +307,7 @@
     first, count = (int(a) for a in (sys.argv[1:] or ["0", "20"])[:2])
     failed = 0
     for seed in range(first, first + count):
-        messages = broken(play(seed))
+        messages = violations(simulate(seed))
         failed += bool(messages)
         for line in messages:
             print(f"endings: seed={seed} {line}", flush=True)
--- a/dev/oleanderhill_dev/fuzz_limits.py
+++ b/dev/oleanderhill_dev/fuzz_limits.py
@@ -320,12 +320,12 @@
     return 3.0 if rate is None else 3.0 + 2 / max(rate, MIN_RATE)
 
 
-def broken(violations: Violations) -> bool:
+def has_violations(violations: Violations) -> bool:
     """Return whether a run shows any violation."""
     return any(violations)
 
 
-def play(seed: int) -> Violations:
+def simulate(seed: int) -> Violations:
     """Run a seed; it selects a small fleet, one with faults, or a larger one, in turn."""
     idle_period = (0.0, 0.0) if seed % 3 else (15.0, 25.0)
     match seed % 4:
@@ -343,8 +343,8 @@
     """Run seeds and return the exit code."""
     failed = 0
     for seed in range(first, first + count):
-        violations = play(seed)
-        if broken(violations):
+        violations = simulate(seed)
+        if has_violations(violations):
             failed += 1
             print(f"seed {seed}: {violations}")
     print(f"{count} runs, {failed} with violations")
--- a/dev/oleanderhill_dev/fuzz_requests.py
+++ b/dev/oleanderhill_dev/fuzz_requests.py
@@ -338,7 +338,7 @@
             case "deadline":
                 return attempts.DeadlineHit()
             case "gone":
-                return attempts.CallerGone()
+                return attempts.CallerDisconnected()
         return None
 
     def _effects(self, submission: Submission, effects: list[attempts.Effect]) -> None:
--- a/dev/oleanderhill_dev/fuzz_settings.py
+++ b/dev/oleanderhill_dev/fuzz_settings.py
@@ -22,14 +22,14 @@
     Have,
     Notice,
     Want,
-    to_write_back,
+    missing_in_store,
 )
 from oleanderhill.settings.writes import (
     SETTINGS_PREFIX,
     Change,
-    Ended,
     SettingsInForce,
     SubtreeWrite,
+    WriteResult,
     WriteState,
     decode_subtree,
 )
@@ -50,8 +50,8 @@
 
     def offer(self, document: Document) -> None:
         """Take a document as the product's task does."""
-        if self.documents.offer(document, 0.0):
-            self.in_force.take(document, 0.0)
+        if self.documents.store_if_newer(document, 0.0):
+            self.in_force.apply(document, 0.0)
 
 
 class Writing(NamedTuple):
@@ -115,13 +115,17 @@
         if isinstance(effect, writes.Read):
             value, index = self.stored.get(key, (b"", 0))
             done = end in ("done", "landed")
-            self._go_on(item, item.write.read(value, index) if done else item.write.failed(False))
+            self._go_on(
+                item, item.write.on_read(value, index) if done else item.write.on_failed(False)
+            )
             return
-        assert isinstance(effect, writes.Swap)
+        assert isinstance(effect, writes.CompareAndSwap)
         if end == "late":
             self.late.append((key, effect.value, effect.modify_index))
         landed = end in ("done", "landed") and self._swap(key, effect.value, effect.modify_index)
-        self._go_on(item, item.write.swapped(landed) if end == "done" else item.write.failed(True))
+        self._go_on(
+            item, item.write.on_swapped(landed) if end == "done" else item.write.on_failed(True)
+        )
 
     @rule(pick=st.integers(0, 999))
     def late_write_lands(self, pick: int) -> None:
@@ -231,7 +235,9 @@
         newest = max(self.accepted[team])
         for node in self.nodes:
             state = node.in_force.state_by_team[team]
-            assert state.seen >= newest, f"{team}: {newest} was accepted, {state.seen} is known"
+            assert (
+                state.latest_revision >= newest
+            ), f"{team}: {newest} was accepted, {state.latest_revision} is known"
             if state.revision == newest:
                 assert node.in_force.tree_by_team[team] == self.accepted[team][newest]
 
@@ -249,13 +255,13 @@
 
     def _go_on(self, item: Writing, effects: list[writes.WriteEffect]) -> None:
         effect = effects[0]
-        if isinstance(effect, Ended):
+        if isinstance(effect, WriteResult):
             self._ended(item, effect)
         else:
             self.writing.append(item._replace(effect=effects))
 
-    def _ended(self, item: Writing, effect: Ended | None) -> None:
-        ended = effect if effect is not None else item.write.timeout()
+    def _ended(self, item: Writing, effect: WriteResult | None) -> None:
+        ended = effect if effect is not None else item.write.on_timeout()
         if ended.state == WriteState.ACCEPTED:
             assert ended.revision not in self.accepted[item.team], "accepted twice"
             self.accepted[item.team][ended.revision] = item.tree
@@ -269,7 +275,7 @@
         for key, (value, _) in self.stored.items():
             revisions[key] = decode_subtree(value).revision
             node.offer(Document(key, revisions[key], value))
-        for document in to_write_back(node.documents.by_key, revisions):
+        for document in missing_in_store(node.documents.by_key, revisions):
             index = self.stored.get(document.key, (b"", 0))[1]
             self._swap(document.key, document.body, index)
 
@@ -283,11 +289,11 @@
             sender, receiver, body = messages.pop(0)
             replies: list[Any] = []
             if isinstance(body, Digest):
-                replies = list(receiver.documents.answer(body))
+                replies = list(receiver.documents.reply_to_digest(body))
             elif isinstance(body, Notice):
-                replies = list(receiver.documents.noticed(body))
+                replies = list(receiver.documents.reply_to_notice(body))
             elif isinstance(body, Want):
-                replies = [receiver.documents.serve(body)]
+                replies = [receiver.documents.reply_to_want(body)]
             elif isinstance(body, Have):
                 for document in body.documents:
                     receiver.offer(document)
--- a/dev/oleanderhill_dev/load.py
+++ b/dev/oleanderhill_dev/load.py
@@ -18,9 +18,9 @@
 import numpy
 
 from oleanderhill.clients.httpcall import Call, HttpCaller, Observer
-from oleanderhill.settings.fleet import hash_of
+from oleanderhill.settings.fleet import hash_key
 
-from .bench_site import Shape, Site
+from .bench_site import Site, SiteConfig
 from .measuring import RESULTS_FOLDER, histogram, milliseconds, record, write_result
 
 DATA_CENTRES = ("intake-hall", "strip-hall", "bale-yard")
@@ -115,7 +115,7 @@
     async def set_fault(self, number: int, **change: Any) -> None:
         """Set faults of the engine with this index."""
         address = list(self.address_by_engine.values())[number]
-        await self.ask(address, "POST", "/faults", json.dumps(change).encode())
+        await self.call_json(address, "POST", "/faults", json.dumps(change).encode())
 
 
 def accounts() -> list[str]:
@@ -137,7 +137,7 @@
         },
         "accounts": {
             name: {
-                "key_hashes": [hash_of(name)],
+                "key_hashes": [hash_key(name)],
                 "models": ["m"],
                 "requests_per_second": PEAK * (2.0 if name.startswith("large") else 0.2),
             }
@@ -236,11 +236,11 @@
 
 
 async def _stop_store(site: LoadSite) -> None:
-    await site.ask(site.platform, "POST", "/faults", b'{"down": true}')
+    await site.call_json(site.platform, "POST", "/faults", b'{"down": true}')
 
 
 async def _restore_store(site: LoadSite) -> None:
-    await site.ask(site.platform, "POST", "/faults", b'{"down": false}')
+    await site.call_json(site.platform, "POST", "/faults", b'{"down": false}')
 
 
 SCENARIOS = (
@@ -255,31 +255,31 @@
 
 async def run_policy(folder: Path, policy: str, seconds: float) -> dict[str, Measured]:
     """Run all scenarios against one policy."""
-    shape = Shape(
+    config = SiteConfig(
         tuple(c for c in DATA_CENTRES for _ in range(2)),
         {(c, f"fabric-{c}"): REPLICAS // len(DATA_CENTRES) for c in DATA_CENTRES},
         services=0,
         host_prefix="load",
-        net=9,
+        second_octet=9,
     )
-    site = LoadSite(shape, folder, [])
+    site = LoadSite(config, folder, [])
     site.policy = policy
     results = {}
     try:
         site.start()
         await asyncio.sleep(3.0)
         body = json.dumps(settings()).encode()
-        await site.ask(site.entries[0].operators, "PUT", "/v1/settings/yard", body)
-        await site.until_serving(REPLICAS, 60)
+        await site.call_json(site.entries[0].operators, "PUT", "/v1/settings/yard", body)
+        await site.wait_until_serving(REPLICAS, 60)
         for number, scenario in enumerate(SCENARIOS):
             if scenario.inject_fault is not None:
                 await scenario.inject_fault(site)
             results[scenario.name] = await drive(site, arrivals(number, seconds, scenario))
             if scenario.clear_fault is not None:
                 await scenario.clear_fault(site)
-            await site.until_serving(REPLICAS, 60)
+            await site.wait_until_serving(REPLICAS, 60)
     finally:
-        site.end()
+        site.stop()
     return results
 
 
--- a/dev/oleanderhill_dev/model/site.py
+++ b/dev/oleanderhill_dev/model/site.py
@@ -285,7 +285,7 @@
     def begin(self, is_retry: bool) -> None:
         """Count the request in the retry budget and send it to a group."""
         self._is_retry = is_retry
-        self._host.budget.request(self._simulation.clock.now)
+        self._host.budget.record_request(self._simulation.clock.now)
         self._send()
 
     def cancel(self) -> None:
--- a/dev/oleanderhill_dev/mutants.py
+++ b/dev/oleanderhill_dev/mutants.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine
 
 from oleanderhill import ownership
-from oleanderhill.domains import hostwatch, ledger, orders, placement, planner, steward
+from oleanderhill.domains import host_reports, ledger, orders, placement, planner, steward
 from oleanderhill.journal import once
 from oleanderhill.limits import accounts as limits
 from oleanderhill.members import membership
@@ -39,7 +39,7 @@
 """Names that the target does not have itself: a builtin, attributes of instances."""
 
 
-def fuzzing(machine: type[RuleBasedStateMachine], examples: int = 40, steps: int = 40) -> Proof:
+def fuzz_check(machine: type[RuleBasedStateMachine], examples: int = 40, steps: int = 40) -> Proof:
     """Return the proof by a state machine, over a fixed set of seeds."""
 
     def run() -> None:
@@ -51,38 +51,46 @@
 
 def mutants() -> list[Mutant]:
     """Return all mutants."""
-    domain = fuzzing(DomainMachine)
-    requests = fuzzing(RequestsMachine, 60, 60)
-    tree = fuzzing(SettingsMachine, 60, 50)
+    domain = fuzz_check(DomainMachine)
+    requests = fuzz_check(RequestsMachine, 60, 60)
+    tree = fuzz_check(SettingsMachine, 60, 50)
     return [
         Mutant("boot id of a member", [(completeness, "member_fault", _ignoring_boots)], domain),
         Mutant("age of evidence", [(routing.Router, "may_send", _may_send_old)], domain),
         Mutant("delay of a message", [(skew.ClockOffsets, "sent_at", _arrival)], domain),
         Mutant("settling of a sender's clock", [(skew, "SETTLE_SECONDS", 0.0)], domain),
-        Mutant("wait until a host let go", [(placement, "_let_go", _let_go_at_once)], _LET_GO),
+        Mutant(
+            "wait until a host let go",
+            [(placement, "_empty_long_enough", _let_go_at_once)],
+            _LET_GO,
+        ),
         Mutant(
             "load order on its way",
-            [(hostwatch.HostWatch, "expect_load", _expect_nothing)],
+            [(host_reports.HostWatch, "expect_load", _expect_nothing)],
             _EXPECT,
         ),
-        Mutant("wait of a taker", [(ownership, "TAKE_OVER_WAIT", 0.0)], _TAKER),
+        Mutant("wait of a taker", [(ownership, "TAKE_OVER_DELAY", 0.0)], _TAKER),
         Mutant("confirmation before an order", [(ownership, "CONFIRM_WINDOW", 1e9)], domain),
         Mutant(
             "leaving list at the router", [(routing.Router, "leaving_hosts", _Nothing())], domain
         ),
         Mutant("leaving members close a group", [(steward, "state_of", _never_closing)], domain),
-        Mutant("life of an owner", [(steward.DomainSteward, "_owner_acts", _named_acts)], domain),
+        Mutant(
+            "life of an owner", [(steward.DomainSteward, "_owner_is_active", _named_acts)], domain
+        ),
         Mutant(
             "rank of records by owner",
             [(evidence.EvidenceTracker, "_store_records", _keep_by_version)],
             _RANK,
         ),
-        Mutant("orders mend other groups", [(placement, "MENDED_BY_ORDERS", frozenset())], domain),
-        Mutant("rule of the ledger", [(ledger, "_put", _put_unchecked)], _LEDGER_RULE),
-        Mutant("epochs outlive groups", [(ledger, "_put", _put_unchecked)], _EPOCHS),
-        Mutant("pause of the owner", [(steward, "GAP", 1e9)], _PAUSE),
-        Mutant("wait of a displaced owner", [(steward, "DISPLACED_WAIT", 0.0)], _DISPLACED),
-        Mutant("older copy of the ledger", [(ledger, "age_of", lambda v: (0, 0))], _SET_BACK),
+        Mutant(
+            "orders mend other groups", [(placement, "FAULTS_FIXED_BY_LOAD", frozenset())], domain
+        ),
+        Mutant("rule of the ledger", [(ledger, "_add_group", _put_unchecked)], _LEDGER_RULE),
+        Mutant("epochs outlive groups", [(ledger, "_add_group", _put_unchecked)], _EPOCHS),
+        Mutant("pause of the owner", [(steward, "PAUSE_THRESHOLD", 1e9)], _PAUSE),
+        Mutant("wait of a displaced owner", [(steward, "RETAKE_DELAY", 0.0)], _DISPLACED),
+        Mutant("older copy of the ledger", [(ledger, "ordering_key", lambda v: (0, 0))], _SET_BACK),
         Mutant("boot in a load order", [(orders, "_load", _load_any_boot)], _BOOT_ORDER),
         Mutant("first claim holds", [(once.Journal, "_apply_row", _last_claim_holds)], requests),
         Mutant("claim before sending", [(once.Journal, "claim", _granted_at_once)], requests),
@@ -90,22 +98,34 @@
         Mutant(
             "sent is unknown", [(attempts.RequestMachine, "ran", lambda m: once.Ran.NO)], requests
         ),
-        Mutant("no second send", [(attempts.RequestMachine, "_lost", _lost_again)], requests),
+        Mutant(
+            "no second send", [(attempts.RequestMachine, "_on_attempt_lost", _lost_again)], requests
+        ),
         Mutant("late answers", [(attempts.RequestMachine, "_is_late", lambda m, e: False)], _LATE),
         Mutant("retry budget", [(attempts.RetryBudget, "take", lambda b, now: True)], _BUDGET),
-        Mutant("documents only move up", [(documents.Documents, "offer", _offer_any)], tree),
+        Mutant(
+            "documents only move up", [(documents.Documents, "store_if_newer", _offer_any)], tree
+        ),
         Mutant("known revision", [(settings, "max", lambda a, b: a)], tree),
         Mutant(
-            "lost write is resolved", [(settings.SubtreeWrite, "failed", _call_it_refused)], tree
+            "lost write is resolved", [(settings.SubtreeWrite, "on_failed", _call_it_refused)], tree
         ),
-        Mutant("store set back", [(documents, "to_write_back", lambda h, s: [])], _WRITE_BACK),
+        Mutant("store set back", [(documents, "missing_in_store", lambda h, s: [])], _WRITE_BACK),
         Mutant("invalid subtree stays out", [(settings, "check_subtree", _unchecked)], _INVALID),
         Mutant("part of a cut-off fleet", [(limits.AccountLimits, "fleet", _One())], _LIMIT),
-        Mutant("left outranks rumours", [(membership.Membership, "_take", _take_newer)], _LEFT),
+        Mutant(
+            "left outranks rumours", [(membership.Membership, "_merge_row", _take_newer)], _LEFT
+        ),
         Mutant("bound on ejections", [(routing, "MAX_EJECTED_FRACTION", 1.0)], _EJECT),
-        Mutant("refused probe", [(hostwatch.HostWatch, "refused", _expect_nothing)], _REFUSED),
-        Mutant("first round of probes", [(steward, "FIRST_ROUND", 0.0)], _FIRST_ROUND),
-        Mutant("patience of the plan", [(planner, "patience", lambda rate: 0.0)], _PATIENCE),
+        Mutant(
+            "refused probe",
+            [(host_reports.HostWatch, "record_refused_probe", _expect_nothing)],
+            _REFUSED,
+        ),
+        Mutant("first round of probes", [(steward, "FIRST_PROBE_ROUND", 0.0)], _FIRST_ROUND),
+        Mutant(
+            "patience of the plan", [(planner, "relocation_delay", lambda rate: 0.0)], _PATIENCE
+        ),
     ]
 
 
@@ -124,12 +144,12 @@
     "test_attempts.RequestMachineTest.test_late_answer_of_an_abandoned_attempt_is_ignored"
 )
 _BUDGET = testing(
-    "test_attempts.RequestMachineTest.test_retries_stay_within_their_part_of_the_requests"
+    "test_attempts.RequestMachineTest.test_retries_stay_within_their_fraction_of_the_requests"
 )
 _WRITE_BACK = testing("test_settings.DocumentsTest.test_store_that_was_set_back_is_written_over")
 _INVALID = testing("test_settings.InForceTest.test_invalid_subtree_leaves_the_last_valid_in_force")
 _LIMIT = testing("test_limits.LimitsTest.test_two_sides_of_a_partition_stay_within_the_rate")
-_LEFT = testing("test_membership.MembershipTest.test_goodbye_outranks_rumours_of_heartbeats")
+_LEFT = testing("test_membership.MembershipTest.test_left_row_takes_precedence_over_heartbeats")
 _EJECT = testing("test_routing.RouterTest.test_at_most_a_third_of_the_groups_is_ejected")
 _RANK = testing(
     "test_routing.EvidenceTrackerTest."
@@ -186,7 +206,7 @@
 
 
 def _let_go_at_once(s: Any, host: str) -> bool:
-    return s.seen_by_host[host].report.state == EngineState.EMPTY
+    return s.report_by_host[host].report.state == EngineState.EMPTY
 
 
 def _expect_nothing(machine: Any, host: str, now: float) -> None:
@@ -194,11 +214,11 @@
 
 
 def _never_closing(view: Any) -> Any:
-    return _state_of(view)._replace(flags=3 * view.whole)
+    return _state_of(view)._replace(flags=3 * view.complete)
 
 
 def _named_acts(machine: Any, found: Any, now: float) -> bool:
-    return found.owner != machine.me and found.owner in machine.life_by_live
+    return found.owner != machine.me and found.owner in machine.incarnation_by_host
 
 
 def _keep_by_version(book: Any, body: Any) -> None:
@@ -237,7 +257,7 @@
 
 
 def _lost_again(machine: Any, reason: str, now: float) -> Any:
-    return machine._not_run(reason, now)
+    return machine._retry_unstarted(reason, now)
 
 
 def _offer_any(held: Any, document: Any, now: float) -> bool:
@@ -246,7 +266,7 @@
 
 
 def _call_it_refused(write: Any, wrote: bool) -> Any:
-    return [settings.Ended(settings.WriteState.REFUSED, 0)]
+    return [settings.WriteResult(settings.WriteState.REFUSED, 0)]
 
 
 def _unchecked(team: str, text: bytes) -> Any:
@@ -257,7 +277,7 @@
     known = self.by_host.get(row.host)
     if known and (row.incarnation, row.heartbeat) <= (known.row.incarnation, known.row.heartbeat):
         return False
-    self.by_host[row.host] = membership.Known(row, now)
+    self.by_host[row.host] = membership.KnownPeer(row, now)
     return True
 
 
--- a/dev/oleanderhill_dev/site.py
+++ b/dev/oleanderhill_dev/site.py
@@ -7,7 +7,7 @@
 
 import defopt
 
-from .bench_site import Shape, Site
+from .bench_site import Site, SiteConfig
 
 
 def main(*, folder: str = "build/tour", program: str = "dist/oleanderhill") -> None:
@@ -16,10 +16,10 @@
     :param folder: directory for logs
     :param program: path of the oleanderhill program to run
     """
-    shape = Shape(
+    config = SiteConfig(
         ("intake-hall", "intake-hall", "strip-hall"), {("intake-hall", "fabric-a"): 10}, services=1
     )
-    site = Site(shape, Path(folder), [program])
+    site = Site(config, Path(folder), [program])
     try:
         site.start()
         print(f"site: callers at {' '.join(e.callers for e in site.entries)}")
@@ -29,7 +29,7 @@
     except KeyboardInterrupt:
         print("site: stopping")
     finally:
-        site.end()
+        site.stop()
 
 
 if __name__ == "__main__":
--- a/dev/oleanderhill_dev/slopes.py
+++ b/dev/oleanderhill_dev/slopes.py
@@ -25,12 +25,12 @@
 from oleanderhill.journal import once
 from oleanderhill.limits.accounts import AccountLimits
 from oleanderhill.members.membership import Gossip, Membership, Row
-from oleanderhill.members.wire import pack
+from oleanderhill.members.wire import encode_message
 from oleanderhill.routing.evidence import EvidenceTracker
 from oleanderhill.routing.router import Requirements, Router
 from oleanderhill.settings import documents
 from oleanderhill.settings import writes as settings
-from oleanderhill.settings.fleet import build, hash_of
+from oleanderhill.settings.fleet import build_fleet, hash_key
 from oleanderhill.types import (
     DomainLedger,
     EngineState,
@@ -39,7 +39,7 @@
     HostEntry,
     HostReport,
     Member,
-    SeenReport,
+    TimedReport,
     WantedGroup,
 )
 
@@ -118,7 +118,9 @@
     steward.ledger = DomainLedger(
         "fabric-a", "entry-1", "life", 1, "", {r.group: r for r in records}
     )
-    steward.mine = steward.mine._replace(owned=True, epoch=1, confirmed_at=1000.0)
+    steward.ownership_state = steward.ownership_state._replace(
+        owned=True, epoch=1, confirmed_at=1000.0
+    )
     steward.wanted = tuple(WantedGroup(r.group, SPEC) for r in records)
     entries = []
     for record in records:
@@ -136,14 +138,14 @@
                 0,
                 16,
             )
-            steward.watch.saw(SeenReport(report, 1000.0))
-    steward.watch.hosts(entries)
+            steward.watch.apply_report(TimedReport(report, 1000.0))
+    steward.watch.set_hosts(entries)
     return steward
 
 
 def membership_of(peers: int) -> Membership:
     """Return a membership that knows this many peers."""
-    me = Row("entry-0000", "10.0.0.1:7002", "hall", 1, 1, life="abcdefgh")
+    me = Row("entry-0000", "10.0.0.1:7002", "hall", 1, 1, run_id="abcdefgh")
     found = Membership(me, [], random.Random(1))
     rng = random.Random(2)
     # Random lives and starts, as in life: alike ones would compress to nothing.
@@ -154,7 +156,7 @@
             "hall",
             1_790_000_000_000 + rng.randrange(10**10),
             rng.randrange(10**6),
-            life=f"{rng.getrandbits(32):08x}",
+            run_id=f"{rng.getrandbits(32):08x}",
         )
         for n in range(1, peers + 1)
     ]
@@ -168,7 +170,10 @@
     for peers in (8, 32, 128, 512):
         m = membership_of(peers)
         cpu.append((peers, microseconds(partial(m.tick, 1.0), 20)))
-        size = sum(len(pack("entry-0000", "10.0.0.1:7002", 1, 1.0, s.message)) for s in m.tick(1.0))
+        size = sum(
+            len(encode_message("entry-0000", "10.0.0.1:7002", 1, 1.0, s.message))
+            for s in m.tick(1.0)
+        )
         sent.append((peers, float(size)))
         memory.append((peers, kilobytes(partial(membership_of, peers))))
     return {
@@ -185,7 +190,9 @@
         s = owner_of(groups)
         tick.append((groups, microseconds(partial(s.tick, 1000.1), 20)))
         states = s.evidence("hall", 1000.0, False)
-        size.append((groups, float(len(pack("entry-0001", "10.0.0.1:7002", 1, 1.0, states)))))
+        size.append(
+            (groups, float(len(encode_message("entry-0001", "10.0.0.1:7002", 1, 1.0, states))))
+        )
         ledger.append((groups, float(len(msgspec.json.encode(s.ledger)))))
     return {
         "steward.cpu": fit("us a tick", "group", tick),
@@ -200,7 +207,7 @@
     for groups in (2, 4, 8, 16, 32):
         hosts = [member_of(n) for n in range(groups * HOSTS_OF_A_GROUP)]
         reports = {
-            m.host: SeenReport(
+            m.host: TimedReport(
                 HostReport(m.host, "b", "", 0, 0, EngineState.EMPTY, False, 0, 0, 16), 999.9
             )
             for m in hosts
@@ -271,7 +278,8 @@
     return {
         "models": {"m": {"versions": {"v1": {"weights_gb": 10}}}},
         "accounts": {
-            f"account-{n}": {**account, "key_hashes": [hash_of(f"key {n}")]} for n in range(entries)
+            f"account-{n}": {**account, "key_hashes": [hash_key(f"key {n}")]}
+            for n in range(entries)
         },
     }
 
@@ -283,16 +291,16 @@
         text = json.dumps(tree_of(entries)).encode()
         raw = settings.Subtree(1, msgspec.Raw(text), ())
         document = documents.Document("settings/yard", 1, settings.encode_subtree(raw))
-        wire = pack("entry-1", "10.0.0.1:7002", 1, 1.0, documents.Have((document,)))
+        wire = encode_message("entry-1", "10.0.0.1:7002", 1, 1.0, documents.Have((document,)))
         size.append((entries, float(len(wire))))
         check.append((entries, microseconds(partial(_check, document), 1)))
         trees = _check(document).tree_by_team
-        merge.append((entries, microseconds(partial(build, trees), 1)))
+        merge.append((entries, microseconds(partial(build_fleet, trees), 1)))
         memory.append((entries, kilobytes(partial(_apply, document))))
     for subtrees in (10, 100, 1000):
         held = documents.Documents()
         for n in range(subtrees):
-            held.offer(documents.Document(f"settings/team-{n}", 5, b"{}"), 0.0)
+            held.store_if_newer(documents.Document(f"settings/team-{n}", 5, b"{}"), 0.0)
         digest.append((subtrees, microseconds(held.fingerprint, 3)))
     return {
         "settings.check": fit("us a change", "entry of the subtree", check),
@@ -305,13 +313,13 @@
 
 def _check(document: documents.Document) -> settings.SettingsInForce:
     in_force = settings.SettingsInForce()
-    in_force.take(document, 0.0)
+    in_force.apply(document, 0.0)
     return in_force
 
 
 def _apply(document: documents.Document) -> Any:
     in_force = _check(document)
-    return in_force, build(in_force.tree_by_team)
+    return in_force, build_fleet(in_force.tree_by_team)
 
 
 def sweep_limits() -> dict[str, Line]:
@@ -328,7 +336,9 @@
             return limits.tick(frozenset(f"e{n}" for n in range(8)))
 
         cpu.append((accounts, microseconds(second, 2)))
-        size.append((accounts, float(len(pack("entry-1", "10.0.0.1:7002", 1, 1.0, second())))))
+        size.append(
+            (accounts, float(len(encode_message("entry-1", "10.0.0.1:7002", 1, 1.0, second()))))
+        )
     return {
         "limits.cpu": fit("us a second", "active account", cpu),
         "limits.bytes": fit("bytes a message", "active account", size),
--- a/dev/oleanderhill_dev/users/demo.py
+++ b/dev/oleanderhill_dev/users/demo.py
@@ -70,7 +70,7 @@
         return "cut"
     if result.unwrap().status != 200:
         return "refused"
-    complete = body.data_seen.count(b"id: ") == site.engines.pieces
+    complete = body.data_seen.count(b"id: ") == site.engines.events_per_stream
     return "answered" if complete else "cut"
 
 
@@ -82,7 +82,7 @@
 async def _show_limit(site: StandInSite, caller: HttpCaller, counts: Counter[str]) -> None:
     """Let a head state a rate limit and count the requests that all entry hosts send to it."""
     head = site.entries[0].candidates("pool", SMALL)[0].host.instance.name
-    notices = site.engines.host_by_instance[head].demand
+    notices = site.engines.host_by_instance[head].notices
     notices.limit = str(LIMIT_PER_SECOND)
     tasks = []
     for number in range(LIMIT_REQUESTS):
@@ -100,7 +100,7 @@
 async def _show_backoff(site: StandInSite, caller: HttpCaller, counts: Counter[str]) -> None:
     """Let a head ask for back-off and count the requests that an entry host sends to it then."""
     head = site.entries[0].candidates("pool", SMALL)[0].host.instance.name
-    notices = site.engines.host_by_instance[head].demand
+    notices = site.engines.host_by_instance[head].notices
     notices.limit, notices.backoff = "", str(BACKOFF_SECONDS)
     notices.arrivals.clear()
     tasks = []
@@ -122,7 +122,7 @@
 
 async def _show_restored(site: StandInSite, counts: Counter[str]) -> None:
     """Restore the store from a backup, then write a configuration with a reused revision."""
-    backup = site.store.back_up()
+    backup = site.store.take_backup()
     for _ in range(LOST_WRITES):
         site.store.put("elsewhere", b"x")
     await until(lambda: all(_revision(e) > backup.revision + LOST_WRITES for e in site.entries))
@@ -162,11 +162,11 @@
             site.lose_host(lost)
             print(f"host {lost} loses power")
     counts = Counter(await asyncio.gather(*tasks))
-    site.engines.fatal.add(CRASH_CAUSING_BODY)
+    site.engines.crash_causing_bodies.add(CRASH_CAUSING_BODY)
     for number in range(CRASH_CAUSING_REQUESTS):
         await _send_request(site, caller, REQUESTS + number, CRASH_CAUSING_BODY)
         await asyncio.sleep(1.0)
-    counts["ended"] = len(site.engines.crashed)
+    counts["ended"] = len(site.engines.crashed_instances)
     print(
         f"a crash-causing request was sent {CRASH_CAUSING_REQUESTS} times "
         f"and crashed {counts['ended']} hosts"
@@ -174,7 +174,7 @@
     await _show_limit(site, caller, counts)
     await _show_backoff(site, caller, counts)
     await _show_restored(site, counts)
-    sizes = {r.group: r.members_ready for r in site.engines.runs}
+    sizes = {r.group: r.joined_members for r in site.engines.runs}
     counts["partial"] = sum(1 for size in sizes.values() if size not in (2, 3))
     await site.entries[0].front.drain()
     await site.stop()
--- a/dev/oleanderhill_dev/users/engines.py
+++ b/dev/oleanderhill_dev/users/engines.py
@@ -42,7 +42,7 @@
     """The start of a request on an engine host.
 
     :param resumed_after: last event that the caller already has, for a resumed stream
-    :param members_ready: number of joined members in the group at the start
+    :param joined_members: number of joined members in the group at the start
     :param never_ready: members that had not yet been ready in this group at any time
     """
 
@@ -51,7 +51,7 @@
     group: str
     account: str
     resumed_after: int | None
-    members_ready: int
+    joined_members: int
     never_ready: tuple[str, ...] = ()
 
 
@@ -122,7 +122,7 @@
         self.leaving = False
         self.alive = True
         self.faults = OrderFaults()
-        self.demand = TargetNotices()
+        self.notices = TargetNotices()
         self.server: HTTPServer | None = None
         self.orders: list[dict[str, Any]] = []
 
@@ -160,7 +160,7 @@
         if not self.alive:
             return
         self.alive = False
-        self.site.crashed.append(self.instance)
+        self.site.crashed_instances.append(self.instance)
         if self.server is not None:
             self.server.stop()
             self.site.closing_connections.append(
@@ -175,7 +175,7 @@
         self.group, self.members, self.model = None, [], ""
         self.seen_epoch = self.seen_fence = 0
         self.orders = []
-        self.demand = TargetNotices()
+        self.notices = TargetNotices()
         # The host remains in ever_ready: a request that begins before the entry hosts learn of the
         # restart runs in a group that lost a member, not in one that was never complete.
         self.publish()
@@ -291,9 +291,9 @@
         self.withdraw = withdraw
         self.host_by_instance: dict[str, StandInHost] = {}
         self.runs: list[RunRecord] = []
-        self.fatal: set[bytes] = set()
+        self.crash_causing_bodies: set[bytes] = set()
         """Bodies of crash-causing requests: each host that begins to run one crashes."""
-        self.crashed: list[str] = []
+        self.crashed_instances: list[str] = []
         self.crash_times: dict[bytes, list[float]] = {}
         """Monotonic times of crashes, by the body of the crash-causing request."""
         self.closing_connections: list[asyncio.Future[None]] = []
@@ -301,8 +301,8 @@
         """Called when a crashed host is to be replaced."""
         self.ever_ready: set[tuple[str, int, str]] = set()
         self._last_start_ms = FIRST_START_MS
-        self.pieces = 10
-        self.tear_after = 0
+        self.events_per_stream = 10
+        self.break_at_event = 0
         """Number of the event in which the next stream breaks off, 0 for none."""
 
     def next_start_ms(self) -> int:
@@ -322,7 +322,7 @@
     async def prepare(self) -> None:
         if not self.host.alive:
             await asyncio.sleep(STALL_SECONDS * 10)
-        self.host.demand.set_notice_headers(self)
+        self.host.notices.set_notice_headers(self)
         expected = self.request.headers.get("Expect-Instance", self.host.instance)
         if expected != self.host.instance:
             self.set_status(421)
@@ -355,8 +355,8 @@
 class _Generate(_Handler):
     async def post(self, path: str) -> None:
         host, headers = self.host, self.request.headers
-        host.demand.record_arrival()
-        if host.demand.reject_if_shedding(self):
+        host.notices.record_arrival()
+        if host.notices.reject_if_shedding(self):
             self.finish()
             return
         if host.group is None or host.group["state"] != "open":
@@ -383,7 +383,7 @@
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Attempt-Id", headers["Attempt-Id"])
         self.set_header("Response-Seal", f"seal-{host.instance}")
-        if self.request.body in host.site.fatal:
+        if self.request.body in host.site.crash_causing_bodies:
             await self.flush()
             await asyncio.sleep(CRASH_SECONDS)
             if host.alive:
@@ -393,7 +393,7 @@
             return
         born = host.born
         try:
-            for number in range(first, host.site.pieces):
+            for number in range(first, host.site.events_per_stream):
                 if host.born != born:
                     raise StreamClosedError  # a restart closes all older connections
                 await self._send_event(number)
@@ -404,12 +404,12 @@
     async def _send_event(self, number: int) -> None:
         host = self.host
         while host.joined_member_count() < len(host.members) or not host.alive:
-            if host.instance in host.site.crashed:
+            if host.instance in host.site.crashed_instances:
                 raise StreamClosedError
             await asyncio.sleep(0.05)
         event = f"id: {number}\ndata: piece {number}\n\n"
-        if host.site.tear_after and number >= host.site.tear_after:
-            host.site.tear_after = 0
+        if host.site.break_at_event and number >= host.site.break_at_event:
+            host.site.break_at_event = 0
             self.write(event[:8])
             await self.flush()
             self.request.connection.stream.close()  # type: ignore[union-attr]
@@ -442,7 +442,7 @@
         self.instance = instance
         self.ran: list[str] = []
         self.faults = TargetFaults()
-        self.demand = TargetNotices()
+        self.notices = TargetNotices()
 
 
 class _TargetHandler(RequestHandler):
@@ -451,12 +451,12 @@
 
     async def _run(self) -> None:
         target, headers = self.target, self.request.headers
-        target.demand.set_notice_headers(self)
+        target.notices.set_notice_headers(self)
         if headers.get("Expect-Instance", target.instance) != target.instance:
             self.set_status(421)
             return
-        target.demand.record_arrival()
-        if target.demand.reject_if_shedding(self):
+        target.notices.record_arrival()
+        if target.notices.reject_if_shedding(self):
             return
         if target.faults.shed:
             target.faults.shed -= 1
--- a/dev/oleanderhill_dev/users/losses.py
+++ b/dev/oleanderhill_dev/users/losses.py
@@ -40,14 +40,14 @@
     """Return the outcomes of the requests of a log."""
     lines = (line for text in texts if (line := parse_line(text)) is not None)
     return [
-        Loss(line.at, _cause(line), int(line.facts.get("stands_for", 1)))
+        Loss(line.at, _cause(line), int(line.fields.get("stands_for", 1)))
         for line in lines
-        if line.part == "request" and line.facts.get("what") not in INTERMEDIATE_LINES
+        if line.part == "request" and line.fields.get("what") not in INTERMEDIATE_LINES
     ]
 
 
 def _cause(line: LogLine) -> str:
-    facts = line.facts
+    facts = line.fields
     if facts.get("what") == "answered":
         return _lateness_cause(line)
     if facts.get("what") == "cut":
@@ -64,7 +64,7 @@
 
 
 def _lateness_cause(line: LogLine) -> str:
-    facts = line.facts
+    facts = line.fields
     elapsed_ms = facts.get("first_ms")
     elapsed_ms = facts.get("ms", 0) if elapsed_ms is None else elapsed_ms
     if elapsed_ms <= facts.get("goal_ms", 0):
--- a/dev/oleanderhill_dev/users/mutants.py
+++ b/dev/oleanderhill_dev/users/mutants.py
@@ -101,9 +101,7 @@
         Mutant(
             "pause after a write that failed",
             [(owner, "WRITE_RETRY_SECONDS", 0.0)],
-            testing(
-                "test_users_site.FailureTest.test_store_that_refuses_is_not_pressed_with_plans"
-            ),
+            testing("test_users_site.FailureTest.test_rejecting_store_is_not_flooded_with_plans"),
         ),
         Mutant(
             "late requests leave places free",
@@ -130,7 +128,7 @@
         Mutant(
             "age of the proof that keys hold",
             [(freshness, "FRESHNESS_MARGIN", -0.5)],
-            testing("test_serving.CurrencyTest.test_proof_runs_out_before_the_bound"),
+            testing("test_serving.FreshnessTest.test_proof_runs_out_before_the_bound"),
         ),
         Mutant(
             "a part of the slack for each host",
@@ -211,8 +209,8 @@
             "the account at the project's own edge",
             [(crashes.CrashTracker, "problem", lambda self, identity, now, ran: None)],
             testing(
-                "test_suspects.OwnEdgeTest"
-                ".test_request_that_ends_each_engine_is_soon_passed_on_to_none"
+                "test_suspects.CrashCausingRequestTest"
+                ".test_request_that_crashes_each_engine_is_quarantined"
             ),
         ),
         Mutant(
@@ -239,7 +237,7 @@
     return [
         Mutant(
             "limits are read from answers",
-            [(headers, "named_limit", lambda headers: None)],
+            [(headers, "stated_limit", lambda headers: None)],
             testing(f"{site}.test_plain_target_gets_no_more_than_its_limit_from_all_entry_hosts"),
         ),
         Mutant(
@@ -394,10 +392,7 @@
         Mutant(
             "domains that changed are worked out anew",
             [(engine_hosts.EngineHosts, "_rebuild", _once_only)],
-            testing(
-                "test_scale.OracleTest"
-                ".test_what_is_kept_is_what_would_be_worked_out_from_all_hosts"
-            ),
+            testing("test_scale.OracleTest" ".test_cached_state_equals_a_full_recomputation"),
         ),
         Mutant(
             "proof only from a configuration that is unchanged",
--- a/dev/oleanderhill_dev/users/restored_mutants.py
+++ b/dev/oleanderhill_dev/users/restored_mutants.py
@@ -35,7 +35,7 @@
             [
                 (
                     configuration.ConfigurationCopy,
-                    "_note_older",
+                    "_record_older",
                     lambda self, catalog, revision: None,
                 )
             ],
--- a/dev/oleanderhill_dev/users/soak.py
+++ b/dev/oleanderhill_dev/users/soak.py
@@ -28,7 +28,7 @@
 from oleanderhill.clients.httpcall import Call, HttpCaller, Observer
 
 from ..bench_site import free_address
-from ..windows import most_within
+from ..windows import max_within_window
 from .engines import StandInHost, TargetNotices
 from .faulty_link import FaultyLink, LinkState
 from .site import LARGE, SMALL, StandInSite, malformed_entry, until
@@ -323,7 +323,7 @@
         """Return the rate limits that the entry hosts exceeded together after the settle time."""
         found = []
         for notices, rate in self._limits:
-            most = most_within(
+            most = max_within_window(
                 LIMIT_WINDOW_SECONDS, notices.arrivals, self._faults_ended_at + SETTLE_SECONDS
             )
             if notices.limit and most > 1.5 * rate * LIMIT_WINDOW_SECONDS + 5:
@@ -337,7 +337,7 @@
         found = []
         settled_at = self._faults_ended_at + SETTLE_SECONDS
         for notices, backoff in self._backoffs:
-            most = most_within(backoff, notices.arrivals, settled_at)
+            most = max_within_window(backoff, notices.arrivals, settled_at)
             if notices.backoff and most > MAX_REQUESTS_IN_BACKOFF * ENTRIES:
                 found.append(
                     f"a target that asked for {backoff} s of back-off got {most} requests meanwhile"
@@ -354,7 +354,7 @@
     def _stream_faults(self, a: CallRecord) -> list[str]:
         if list(a.numbers) != list(range(len(a.numbers))):
             return [f"{a.request_id} got the event numbers {a.numbers}"]
-        if a.status == 200 and a.ended and len(a.numbers) != self.site.engines.pieces:
+        if a.status == 200 and a.ended and len(a.numbers) != self.site.engines.events_per_stream:
             return [f"{a.request_id} ended as complete after {len(a.numbers)} events"]
         return []
 
@@ -438,10 +438,10 @@
             await asyncio.sleep(rng.uniform(0.3, 2.0))
             heads = self._open_heads()
             if self._leaving_notices is None and len(heads) > 2 and rng.random() < 0.4:
-                self._leaving_notices = heads[-1].demand
+                self._leaving_notices = heads[-1].notices
                 self._leaving_notices.leaving = True
             backoff = rng.choice(BACKOFF_SECONDS)
-            notices = rng.choice([*(h.demand for h in heads[:1]), self.site.targets[0].demand])
+            notices = rng.choice([*(h.notices for h in heads[:1]), self.site.targets[0].notices])
             notices.backoff = "" if rng.random() < 0.3 else str(backoff)
             self._backoffs = [(n, s) for n, s in self._backoffs if n is not notices]
             self._backoffs.append((notices, backoff))
@@ -453,7 +453,7 @@
             await asyncio.sleep(rng.uniform(0.3, 2.0))
             heads = self._open_heads()
             rate = rng.choice(LIMITS_PER_SECOND)
-            notices = rng.choice([*(h.demand for h in heads[:1]), self.site.targets[0].demand])
+            notices = rng.choice([*(h.notices for h in heads[:1]), self.site.targets[0].notices])
             notices.limit = "" if rng.random() < 0.2 else str(rate)
             self._limits = [(n, r) for n, r in self._limits if n is not notices]
             self._limits.append((notices, rate))
@@ -537,12 +537,12 @@
         faults = self.site.store.faults
         faults.late_by = self._rng.uniform(0.5, 2.5)
         if self._rng.random() < 0.5:
-            faults.lose_writes += 2
+            faults.unanswered_writes += 2
         else:
             faults.late_writes += 2
 
     async def _forget_history(self) -> None:
-        self.site.store.forget_history()
+        self.site.store.discard_history()
 
     async def _lose_host(self) -> None:
         alive = [h for h in self.site.engines.host_by_instance.values() if h.alive]
@@ -561,7 +561,7 @@
 
     async def _repeat_crash_causing_request(self, crash_body: bytes, rng: random.Random) -> None:
         """Send a crash-causing request repeatedly until the end of the soak."""
-        self.site.engines.fatal.add(crash_body)
+        self.site.engines.crash_causing_bodies.add(crash_body)
         await asyncio.sleep(rng.uniform(0.0, FAULT_SECONDS))
         caller = HttpCaller()
         number = 0
--- a/dev/oleanderhill_dev/users/soak_store.py
+++ b/dev/oleanderhill_dev/users/soak_store.py
@@ -37,7 +37,7 @@
     async def back_up(self) -> None:
         """Take backups until cancelled."""
         while True:
-            self._backups.append(self._store.back_up())
+            self._backups.append(self._store.take_backup())
             await asyncio.sleep(BACKUP_INTERVAL_SECONDS)
 
     def restore_oldest(self) -> None:
@@ -51,7 +51,7 @@
         self._store.restore(backup)
         # Later backups belong to the discarded history, so they must not be restored any more.
         self._backups.clear()
-        self._backups.append(self._store.back_up())
+        self._backups.append(self._store.take_backup())
 
     async def restore(self) -> None:
         """Make the store silent and restore a random backup, repeatedly, until cancelled."""
--- a/dev/oleanderhill_dev/users/store.py
+++ b/dev/oleanderhill_dev/users/store.py
@@ -36,7 +36,7 @@
 
     :ivar status: status with which every call fails, 0 for none
     :ivar silent: calls get no reply
-    :ivar lose_writes: number of next writes that are committed without a reply
+    :ivar unanswered_writes: number of next writes that are committed without a reply
     :ivar late_writes: number of next writes that are committed after ``late_by`` seconds,
         without a reply
     """
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self.status = 0
         self.silent = False
-        self.lose_writes = 0
+        self.unanswered_writes = 0
         self.late_writes = 0
         self.late_by = 1.0
 
@@ -104,12 +104,12 @@
             "lease_id": item.lease,
         }
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Discard all changes; a watch from an older revision fails and has to read the range."""
         self.history.clear()
         self.compacted_revision = self.revision
 
-    def back_up(self) -> StoreBackup:
+    def take_backup(self) -> StoreBackup:
         """Return a backup from which the store can be restored."""
         return StoreBackup(dict(self.items), self.revision, frozenset(self.lease_ends))
 
@@ -229,8 +229,8 @@
             loop.call_later(faults.late_by, self.store.commit, body)
             await asyncio.sleep(SILENCE_SECONDS)
         status, answer = self.store.commit(body)
-        if faults.lose_writes:
-            faults.lose_writes -= 1
+        if faults.unanswered_writes:
+            faults.unanswered_writes -= 1
             await asyncio.sleep(SILENCE_SECONDS)
         self.answer(status, answer)
 
--- a/dev/oleanderhill_dev/users/upkeep.py
+++ b/dev/oleanderhill_dev/users/upkeep.py
@@ -17,7 +17,7 @@
 
 from oleanderhill.clients.storage import Change, Revision
 from oleanderhill.clients.store_reads import ReadResult
-from oleanderhill.clock import awake_or_not
+from oleanderhill.clock import boottime_seconds
 from oleanderhill.groups.inventory import Instance
 from oleanderhill.groups.ownership import Presence, encode_presence, presence_key
 from oleanderhill.groups.plans import DomainPlan, PlannedGroup, encode_plan, plan_key
@@ -79,7 +79,7 @@
     def read(self, changes: list[Change], whole: bool = False) -> None:
         """Hand a reading to the entry host."""
         self.revision += 1
-        now = awake_or_not()
+        now = boottime_seconds()
         self.entry._mirror._apply_reading(
             ReadResult(Revision(1, self.revision), whole, changes, now, now)
         )
--- a/dev/oleanderhill_dev/windows.py
+++ b/dev/oleanderhill_dev/windows.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 
-def most_within(seconds: float, times: Iterable[float], since: float = float("-inf")) -> int:
+def max_within_window(seconds: float, times: Iterable[float], since: float = float("-inf")) -> int:
     """Return the largest number of times that lie within one window.
 
     :param seconds: length of the window
--- a/src/oleanderhill/__init__.py
+++ b/src/oleanderhill/__init__.py
@@ -30,7 +30,7 @@
     from .settings.documents import Document as Document
     from .settings.documents import Documents as Documents
     from .settings.fleet import Fleet as Fleet
-    from .settings.fleet import build as build_fleet
+    from .settings.fleet import build_fleet as build_fleet
 
 __version__ = "0.1.0"
 
@@ -49,7 +49,7 @@
     "RetryBudget": (".requests.attempts", "RetryBudget"),
     "Router": (".routing.router", "Router"),
     "SettingsInvalidError": (".exceptions", "SettingsInvalidError"),
-    "build_fleet": (".settings.fleet", "build"),
+    "build_fleet": (".settings.fleet", "build_fleet"),
     "check_subtree": (".settings.checking", "check_subtree"),
     "json_schema": (".settings.checking", "json_schema"),
     "load_boot": (".settings.checking", "load_boot"),
--- a/src/oleanderhill/clients/mirror.py
+++ b/src/oleanderhill/clients/mirror.py
@@ -15,7 +15,7 @@
 
 from returns.pipeline import is_successful
 
-from ..clock import awake_or_not
+from ..clock import boottime_seconds
 from ..exceptions import StoreError, StoreUnavailableError
 from ..kernel import Kernel, Task
 from ..records import Records
@@ -154,7 +154,7 @@
             except TimeoutError:
                 # A store that is about to drop its history delays each read by a second. While its
                 # freshness checks succeed, the peers need not read it too.
-                if self._freshness.age(awake_or_not()) > max_wait:
+                if self._freshness.age(boottime_seconds()) > max_wait:
                     return None
         return self._reading_after(after)
 
@@ -177,7 +177,7 @@
         if changes is None:
             return None
         verified_at = self._freshness.verified_at
-        now = awake_or_not()
+        now = boottime_seconds()
         uncertain_s, settle_s = (
             max(0.0, t - now) for t in (self._uncertain_until, self._trusted_from)
         )
@@ -187,9 +187,9 @@
 
     async def _read_loop(self) -> None:
         while True:
-            began = awake_or_not()
+            began = boottime_seconds()
             source, error = await self._read()
-            now = awake_or_not()
+            now = boottime_seconds()
             if error is not None:
                 self._disconnect(error)
                 wait = RETRY_INTERVAL * (0.5 + 0.5 * self._rng.random())
@@ -206,22 +206,22 @@
         tried: set[str] = set()
         while (source := await self._next_source(tried)) is not None:
             tried.add(source.name)
-            began = awake_or_not()
+            began = boottime_seconds()
             found = await source.read(self.log.revision, began)
             if is_successful(found):
                 self._connect(source, began)
                 self._apply_reading(found.unwrap())
                 return source.name, None
             error = found.failure()
-            self._sources.failed(source, error, awake_or_not())
+            self._sources.failed(source, error, boottime_seconds())
         return "", error
 
     async def _next_source(self, tried: set[str]) -> Source | None:
-        sources = await self._sources.in_order(awake_or_not())
+        sources = await self._sources.in_order(boottime_seconds())
         return next((s for s in sources if s.name not in tried), None)
 
     def _apply_reading(self, found: ReadResult) -> None:
-        now = awake_or_not()
+        now = boottime_seconds()
         held = self.log.revision
         if held is not None and found.revision.generation < held.generation:
             return  # read before the store was restored from a backup
@@ -304,7 +304,7 @@
             after=self.log.revision,
         )
         if self._was_disconnected:
-            self._mark_uncertain(awake_or_not() + self._entry_return)
+            self._mark_uncertain(boottime_seconds() + self._entry_return)
 
     def _log_source_change(self, source: Source) -> None:
         """Log that another source is used, as the previous one did not answer."""
@@ -315,7 +315,7 @@
             source=source.name,
             before=self._source,
             after=self.log.revision,
-            age_s=round(self.age(awake_or_not()), 2),
+            age_s=round(self.age(boottime_seconds()), 2),
         )
         self._source = source.name
 
@@ -325,5 +325,5 @@
         self._connected = False
         self._was_disconnected = True
         self.connected_since = float("inf")
-        age = round(self.age(awake_or_not()), 2)
+        age = round(self.age(boottime_seconds()), 2)
         self._records.note("dependency", "lost", dependency="store", reason=str(error), age_s=age)
--- a/src/oleanderhill/clients/relay.py
+++ b/src/oleanderhill/clients/relay.py
@@ -25,8 +25,8 @@
     responses,
 )
 
-from ..clock import awake_or_not
-from ..exceptions import NoReadingError, StoreError, StoreUnavailableError
+from ..clock import boottime_seconds
+from ..exceptions import NoStoreCopyError, StoreError, StoreUnavailableError
 from ..kernel import Kernel, Task
 from .compression import compress_message, decompress_message
 from .httpcall import Call, HttpCaller
@@ -103,7 +103,7 @@
             return Failure(StoreUnavailableError(f"{self.name}: {found.failure().reason}"))
         reply = found.unwrap()
         if reply.status == 503:
-            return Failure(NoReadingError(self.name))
+            return Failure(NoStoreCopyError(self.name))
         if reply.status != 200:
             return Failure(StoreUnavailableError(f"{self.name}: status {reply.status}"))
         try:
@@ -113,7 +113,7 @@
             return Failure(StoreUnavailableError(f"{self.name}: malformed reading: {error}"))
         if after is not None and encoded.revision.generation < after.generation:
             # Its freshness check applies to content that the store no longer has.
-            return Failure(NoReadingError(self.name))
+            return Failure(NoStoreCopyError(self.name))
         if after is not None and encoded.revision < after:
             # The peer is behind. Its freshness check also holds for the newer content of this host.
             encoded, changes = encoded._replace(revision=after), []
@@ -194,7 +194,7 @@
         if reading is None:
             _reply(connection, 503, b"")
             return
-        now = awake_or_not()
+        now = boottime_seconds()
         encoded = EncodedReading(
             reading.revision,
             reading.full,
--- a/src/oleanderhill/clients/store_reads.py
+++ b/src/oleanderhill/clients/store_reads.py
@@ -9,8 +9,8 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from ..clock import awake_or_not
-from ..exceptions import StoreCutError, StoreError
+from ..clock import boottime_seconds
+from ..exceptions import StoreConnectionClosedError, StoreError
 from ..records import Records
 from .storage import Change, Changes, GenerationEndedError, HistoryLostError, Revision, Storage
 
@@ -124,8 +124,8 @@
             # The configuration has changed but the watch returns nothing: the store is about to
             # drop its history. Without this read, the freshness check of every host would expire
             # and each would read the whole content itself.
-            return await self._read_full(awake_or_not())
-        if not is_successful(found) and isinstance(found.failure(), StoreCutError):
+            return await self._read_full(boottime_seconds())
+        if not is_successful(found) and isinstance(found.failure(), StoreConnectionClosedError):
             # A store that drops its history closes its watches, and reports the lost history on the
             # next call. Other readers have no newer content: if this one waited for them, all
             # hosts would get no read until their freshness check expired, and would reject
@@ -164,7 +164,7 @@
         check all peers would read the store themselves.
         """
         while self.run_freshness_checks and (held := self._held()):
-            now = awake_or_not()
+            now = boottime_seconds()
             if now - self._checked_at >= CHECK_INTERVAL:
                 self._checked_at = now
                 # The check runs in its own task, as the read often ends at about the same time.
--- a/src/oleanderhill/clients/targets.py
+++ b/src/oleanderhill/clients/targets.py
@@ -13,8 +13,8 @@
 
 from ..exceptions import (
     OleanderhillError,
-    OrderRefusedError,
-    TargetRefusedError,
+    OrderRejectedError,
+    TargetConnectionRefusedError,
     TargetUnreachableError,
 )
 from ..types import HostEntry, HostReport, Order
@@ -123,7 +123,7 @@
     def convert(failure: CallFailure) -> OleanderhillError:
         reason = f"{failure.kind.value}: {failure.reason}"
         if failure.refused:
-            return TargetRefusedError(address, reason)
+            return TargetConnectionRefusedError(address, reason)
         return TargetUnreachableError(address, reason)
 
     return convert
@@ -145,4 +145,4 @@
 def _check_accepted(host: str, reply: Reply) -> Result[None, OleanderhillError]:
     if reply.status == 200:
         return Success(None)
-    return Failure(OrderRefusedError(host, f"status {reply.status} {reply.body[:200]!r}"))
+    return Failure(OrderRejectedError(host, f"status {reply.status} {reply.body[:200]!r}"))
--- a/src/oleanderhill/clock.py
+++ b/src/oleanderhill/clock.py
@@ -6,7 +6,7 @@
 import time
 
 
-def awake_or_not() -> float:
+def boottime_seconds() -> float:
     """Return seconds on a steady clock that also runs while the machine is suspended.
 
     Use it to measure the age of cached information. The monotonic clock stops during a suspension,
--- a/src/oleanderhill/domains/hostwatch.py
+++ b/src/oleanderhill/domains/host_reports.py
@@ -6,9 +6,9 @@
 
 from .. import ownership as owners
 from ..routing.completeness import EVIDENCE_MAX_AGE
-from ..types import EngineState, HostEntry, HostState, SeenReport
+from ..types import EngineState, HostEntry, HostState, TimedReport
 
-PROBE_EVERY = 0.9
+PROBE_INTERVAL = 0.9
 """Seconds between probes of a host that answered the last one."""
 
 PROBE_RETRY_INTERVAL = 0.4
@@ -20,22 +20,22 @@
 
     def __init__(self) -> None:
         self.entry_by_host: dict[str, HostEntry] = {}
-        self.seen_by_host: dict[str, SeenReport] = {}
+        self.report_by_host: dict[str, TimedReport] = {}
         self.empty_since: dict[str, float] = {}
         self._load_arrives_by: dict[str, float] = {}
         self._probed_at: dict[str, float] = {}
 
-    def hosts(self, entries: Iterable[HostEntry]) -> None:
+    def set_hosts(self, entries: Iterable[HostEntry]) -> None:
         """Replace the platform's list of hosts in this domain."""
         self.entry_by_host = {e.host: e for e in entries}
 
-    def saw(self, seen: SeenReport) -> None:
+    def apply_report(self, seen: TimedReport) -> None:
         """Store a report, unless the stored one comes from a later probe."""
         host = seen.report.host
-        previous = self.seen_by_host.get(host)
+        previous = self.report_by_host.get(host)
         if previous is not None and previous.sent_at > seen.sent_at:
             return
-        self.seen_by_host[host] = seen
+        self.report_by_host[host] = seen
         same_boot = previous is not None and previous.report.boot_id == seen.report.boot_id
         if seen.report.state != EngineState.EMPTY:
             self.empty_since.pop(host, None)
@@ -44,34 +44,34 @@
             arrives_by = self._load_arrives_by.get(host, seen.sent_at)
             self.empty_since[host] = max(seen.sent_at, arrives_by)
 
-    def refused(self, host: str, sent_at: float) -> None:
+    def record_refused_probe(self, host: str, sent_at: float) -> None:
         """Discard the report of a host that refused a probe: its engine is not running.
 
         Otherwise the last report would stay valid until it expires, and the group would receive
         requests for up to two seconds after a crash that was detected immediately.
         """
-        previous = self.seen_by_host.get(host)
+        previous = self.report_by_host.get(host)
         if previous is not None and previous.sent_at < sent_at:
-            del self.seen_by_host[host]
+            del self.report_by_host[host]
             self.empty_since.pop(host, None)
 
     def expect_load(self, host: str, now: float) -> None:
         """Don't treat a host as empty while a load order may be in flight to it."""
-        self._load_arrives_by[host] = now + owners.ORDER_LIFE
+        self._load_arrives_by[host] = now + owners.ORDER_SEND_TIMEOUT
         self.empty_since.pop(host, None)
 
     def to_probe(self, now: float) -> list[HostEntry]:
         """Return the hosts to probe now, and record them as probed.
 
-        A host that answered is probed again after :data:`PROBE_EVERY`. One that did not answer is
-        probed again at the next tick, so that a single lost probe does not close its group.
+        A host that answered is probed again after :data:`PROBE_INTERVAL`. One that did not answer
+        is probed again at the next tick, so that a single lost probe does not close its group.
         """
         due = []
         for host, entry in self.entry_by_host.items():
             probed_at = self._probed_at.get(host, float("-inf"))
-            seen = self.seen_by_host.get(host)
+            seen = self.report_by_host.get(host)
             answered = seen is not None and seen.sent_at >= probed_at
-            if now - probed_at >= (PROBE_EVERY if answered else PROBE_RETRY_INTERVAL):
+            if now - probed_at >= (PROBE_INTERVAL if answered else PROBE_RETRY_INTERVAL):
                 self._probed_at[host] = now
                 due.append(entry)
         return due
@@ -85,7 +85,7 @@
         leaving = self.leaving()
         return sum(
             1
-            for host, seen in self.seen_by_host.items()
+            for host, seen in self.report_by_host.items()
             if now - seen.sent_at <= EVIDENCE_MAX_AGE
             and not seen.report.leaving
             and host in self.entry_by_host
--- a/src/oleanderhill/domains/ledger.py
+++ b/src/oleanderhill/domains/ledger.py
@@ -26,7 +26,7 @@
     return f"ledger/{data_centre}/{domain}"
 
 
-def holder_by_host(ledger: DomainLedger) -> dict[str, str]:
+def group_by_host(ledger: DomainLedger) -> dict[str, str]:
     """Return the name of the group that each assigned host belongs to."""
     return {m.host: g.group for g in ledger.groups.values() for m in g.members}
 
@@ -35,7 +35,7 @@
     """Return the ledger with a new owner and the owner epoch raised by one."""
     return ledger._replace(
         owner=owner,
-        owner_life=incarnation,
+        owner_incarnation=incarnation,
         owner_epoch=ledger.owner_epoch + 1,
         version=ledger.version + 1,
     )
@@ -47,13 +47,13 @@
     """Return the ledger with a new group that has these members."""
     if group in ledger.groups:
         raise LedgerRuleError(ledger.domain, f"group {group} already exists")
-    return _put(ledger, group, spec, members)
+    return _add_group(ledger, group, spec, members)
 
 
 def with_members(ledger: DomainLedger, group: str, members: tuple[Member, ...]) -> DomainLedger:
     """Return the ledger with new members of a group, or new boots of the same, at a new epoch."""
     spec = _get(ledger, group).spec
-    return _put(without_group(ledger, group), group, spec, members)
+    return _add_group(without_group(ledger, group), group, spec, members)
 
 
 def with_draining_group(ledger: DomainLedger, group: str) -> DomainLedger:
@@ -68,7 +68,7 @@
     return ledger._replace(groups={k: v for k, v in ledger.groups.items() if k != group})
 
 
-def age_of(ledger: DomainLedger) -> tuple[int, int]:
+def ordering_key(ledger: DomainLedger) -> tuple[int, int]:
     """Return the key that orders the values of a ledger: owner epoch, then version."""
     return ledger.owner_epoch, ledger.version
 
@@ -79,10 +79,10 @@
     return ledger.groups[group]
 
 
-def _put(
+def _add_group(
     ledger: DomainLedger, group: str, spec: GroupSpec, members: tuple[Member, ...]
 ) -> DomainLedger:
-    assigned = holder_by_host(ledger)
+    assigned = group_by_host(ledger)
     hosts = [m.host for m in members]
     if len(set(hosts)) != spec.hosts:
         raise LedgerRuleError(ledger.domain, f"group {group} needs {spec.hosts} distinct hosts")
--- a/src/oleanderhill/domains/tally.py
+++ b/src/oleanderhill/domains/measures.py
@@ -5,8 +5,8 @@
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
-from ..types import DomainLedger, EngineState, GroupView, SeenReport, WantedGroup
-from .ledger import holder_by_host
+from ..types import DomainLedger, EngineState, GroupView, TimedReport, WantedGroup
+from .ledger import group_by_host
 
 MAX_STEP_SECONDS = 5.0
 """Longest step in seconds that is counted in full; longer ones mean the process was paused."""
@@ -34,24 +34,24 @@
     ledger: DomainLedger,
     wanted: Iterable[WantedGroup],
     views: Collection[GroupView],
-    seen_by_host: Mapping[str, SeenReport],
+    report_by_host: Mapping[str, TimedReport],
 ) -> Gauges:
     """Return the groups down and hosts stranded in one domain now."""
-    serving = {v.group for v in views if v.whole}
+    serving = {v.group for v in views if v.complete}
     down = sum(1 for w in wanted if w.group not in serving)
-    return Gauges(down, len(stranded_hosts(ledger, views, seen_by_host)))
+    return Gauges(down, len(stranded_hosts(ledger, views, report_by_host)))
 
 
 def stranded_hosts(
-    ledger: DomainLedger, views: Iterable[GroupView], seen_by_host: Mapping[str, SeenReport]
+    ledger: DomainLedger, views: Iterable[GroupView], report_by_host: Mapping[str, TimedReport]
 ) -> set[str]:
     """Return the hosts of groups that don't serve, and unassigned hosts that are not empty."""
-    serving = {v.group for v in views if v.whole}
-    assigned = holder_by_host(ledger)
+    serving = {v.group for v in views if v.complete}
+    assigned = group_by_host(ledger)
     idle = {h for h, g in assigned.items() if g not in serving}
     not_emptied = {
         h
-        for h, s in seen_by_host.items()
+        for h, s in report_by_host.items()
         if h not in assigned and s.report.state != EngineState.EMPTY
     }
     return idle | not_emptied
--- a/src/oleanderhill/domains/order_log.py
+++ b/src/oleanderhill/domains/order_log.py
@@ -29,12 +29,12 @@
         """Return when each order was last sent."""
         return self._sent_at
 
-    def sent(self, key: OrderKey, now: float) -> None:
+    def record_sent(self, key: OrderKey, now: float) -> None:
         """Record that an order was sent, which uses up its ticket."""
         self._sent_at[key] = now
         self._tickets.pop(key, None)
 
-    def ticket(self, key: OrderKey, wait: float, now: float) -> None:
+    def apply_ticket(self, key: OrderKey, wait: float, now: float) -> None:
         """Record a ticket as granted, or as to be requested again after a positive ``wait``."""
         self._tickets[key] = now + wait if wait > 0 else GRANTED
 
--- a/src/oleanderhill/domains/orders.py
+++ b/src/oleanderhill/domains/orders.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ..routing.completeness import EVIDENCE_MAX_AGE
-from ..types import DomainLedger, EngineState, GroupRecord, HostEntry, Order, SeenReport
+from ..types import DomainLedger, EngineState, GroupRecord, HostEntry, Order, TimedReport
 
 RESEND_AFTER = 1.0
 """Seconds before the same order is sent to the same host again."""
@@ -39,7 +39,7 @@
 def due_orders(
     ledger: DomainLedger,
     entry_by_host: Mapping[str, HostEntry],
-    seen_by_host: Mapping[str, SeenReport],
+    report_by_host: Mapping[str, TimedReport],
     sent_at_by_key: Mapping[OrderKey, float],
     now: float,
 ) -> list[DueOrder]:
@@ -50,7 +50,7 @@
     assignment_by_host = _assignment_by_host(ledger)
     unloads: list[DueOrder] = []
     loads: list[DueOrder] = []
-    for host, seen in sorted(seen_by_host.items()):
+    for host, seen in sorted(report_by_host.items()):
         if now - seen.sent_at > EVIDENCE_MAX_AGE or host not in entry_by_host:
             continue
         assignment = assignment_by_host.get(host)
@@ -78,7 +78,7 @@
     }
 
 
-def _unload(host: str, entry: HostEntry, seen: SeenReport) -> list[DueOrder]:
+def _unload(host: str, entry: HostEntry, seen: TimedReport) -> list[DueOrder]:
     """Return the order that empties a host which belongs to no group."""
     report = seen.report
     if report.state == EngineState.EMPTY:
@@ -89,7 +89,7 @@
     return [DueOrder(order, 0.0)]
 
 
-def _load(record: GroupRecord, rank: int, seen: SeenReport) -> list[DueOrder]:
+def _load(record: GroupRecord, rank: int, seen: TimedReport) -> list[DueOrder]:
     report = seen.report
     member = record.members[rank]
     # A boot that the ledger doesn't list gets no load order. Placement first binds the group to
--- a/src/oleanderhill/domains/placement.py
+++ b/src/oleanderhill/domains/placement.py
@@ -20,7 +20,7 @@
     HostEntry,
     HostState,
     Member,
-    SeenReport,
+    TimedReport,
     WantedGroup,
 )
 from . import ledger as ledgers
@@ -37,7 +37,7 @@
 DRAIN_LIMIT = 120.0
 """Seconds after which a draining group is dissolved even with requests in flight."""
 
-MENDED_BY_ORDERS = frozenset({MemberFault.LOADING, MemberFault.OTHER_GROUP})
+FAULTS_FIXED_BY_LOAD = frozenset({MemberFault.LOADING, MemberFault.OTHER_GROUP})
 """Faults that a load order of the current epoch corrects.
 
 Rebinding the group at a new epoch instead would restart the load at each report that is older than
@@ -103,7 +103,7 @@
     ledger: DomainLedger
     wanted: tuple[WantedGroup, ...]
     entry_by_host: Mapping[str, HostEntry]
-    seen_by_host: Mapping[str, SeenReport]
+    report_by_host: Mapping[str, TimedReport]
     empty_since: Mapping[str, float]
     broken_since: Mapping[str, float]
     draining_since: Mapping[str, float]
@@ -138,17 +138,17 @@
     return actions
 
 
-def free_hosts(s: Situation) -> list[SeenReport]:
+def free_hosts(s: Situation) -> list[TimedReport]:
     """Return the hosts that can join a group now: unassigned, empty, present and not leaving."""
-    assigned = ledgers.holder_by_host(s.ledger)
+    assigned = ledgers.group_by_host(s.ledger)
     return [
         seen
-        for host, seen in sorted(s.seen_by_host.items())
-        if host not in assigned and _present(s, host) and _let_go(s, host)
+        for host, seen in sorted(s.report_by_host.items())
+        if host not in assigned and _present(s, host) and _empty_long_enough(s, host)
     ]
 
 
-def _let_go(s: Situation, host: str) -> bool:
+def _empty_long_enough(s: Situation, host: str) -> bool:
     """Return whether a host has been empty for longer than evidence of its last group is valid.
 
     An entry host that is partitioned from the owner may send requests to the host's last group
@@ -159,13 +159,13 @@
 
 def _present(s: Situation, host: str) -> bool:
     entry = s.entry_by_host.get(host)
-    seen = s.seen_by_host.get(host)
+    seen = s.report_by_host.get(host)
     if entry is None or seen is None or entry.state == HostState.LEAVING:
         return False
     return not seen.report.leaving and s.now - seen.sent_at <= EVIDENCE_MAX_AGE
 
 
-def _member(s: Situation, seen: SeenReport) -> Member:
+def _member(s: Situation, seen: TimedReport) -> Member:
     host = seen.report.host
     return Member(host, s.entry_by_host[host].address, seen.report.boot_id)
 
@@ -200,13 +200,15 @@
 
     :param busy: another group is already drained or dissolved in this round
     """
-    if not _verdict(s, record).whole:
+    if not _verdict(s, record).complete:
         return [Dissolve(record.group, "not wanted and not serving")]
     successors = [w for w in s.wanted if _same_name(w.spec, record)]
     if not successors:
         return [Drain(record.group, "not wanted")]
     same = [r for r in s.ledger.groups.values() if _same_name(r.spec, record)]
-    complete_count = sum(1 for r in same if r.phase == GroupPhase.ACTIVE and _verdict(s, r).whole)
+    complete_count = sum(
+        1 for r in same if r.phase == GroupPhase.ACTIVE and _verdict(s, r).complete
+    )
     if complete_count > len(successors):
         return [] if busy else [Drain(record.group, "its successor serves")]
     if (
@@ -223,15 +225,15 @@
     if any(r.phase == GroupPhase.DRAINING for r in s.ledger.groups.values()):
         return False
     formed = [s.ledger.groups[w.group] for w in successors if w.group in s.ledger.groups]
-    if any(not _verdict(s, r).whole for r in formed) or len(formed) == len(successors):
+    if any(not _verdict(s, r).complete for r in formed) or len(formed) == len(successors):
         return False
     return len(_unassigned_hosts(s)) < hosts
 
 
 def _unassigned_hosts(s: Situation) -> list[str]:
     """Return the hosts that are present and in no group, even if they are not yet empty."""
-    assigned = ledgers.holder_by_host(s.ledger)
-    return [h for h in s.seen_by_host if h not in assigned and _present(s, h)]
+    assigned = ledgers.group_by_host(s.ledger)
+    return [h for h in s.report_by_host if h not in assigned and _present(s, h)]
 
 
 def _same_name(spec: GroupSpec, record: GroupRecord) -> bool:
@@ -239,14 +241,14 @@
 
 
 def _idle(s: Situation, record: GroupRecord) -> bool:
-    seen = s.seen_by_host.get(record.head.host)
+    seen = s.report_by_host.get(record.head.host)
     if seen is None or s.now - seen.sent_at > EVIDENCE_MAX_AGE:
         return False
     return seen.report.running == 0 and seen.report.waiting == 0
 
 
 def _verdict(s: Situation, record: GroupRecord) -> Verdict:
-    return evaluate_group(record, s.seen_by_host, s.now)
+    return evaluate_group(record, s.report_by_host, s.now)
 
 
 def _repair(s: Situation) -> list[Action]:
@@ -271,18 +273,18 @@
 
 def _needs_repair(s: Situation, record: GroupRecord, verdict: Verdict) -> bool:
     if verdict.faults:
-        return any(f not in MENDED_BY_ORDERS for f in verdict.faults.values())
+        return any(f not in FAULTS_FIXED_BY_LOAD for f in verdict.faults.values())
     return any(_is_leaving(s, m.host) for m in record.members)
 
 
 def _is_leaving(s: Situation, host: str) -> bool:
     entry = s.entry_by_host.get(host)
-    seen = s.seen_by_host.get(host)
+    seen = s.report_by_host.get(host)
     by_list = entry is not None and entry.state == HostState.LEAVING
     return by_list or (seen is not None and seen.report.leaving)
 
 
-def _repair_one(s: Situation, record: GroupRecord, free: Sequence[SeenReport]) -> Action | None:
+def _repair_one(s: Situation, record: GroupRecord, free: Sequence[TimedReport]) -> Action | None:
     verdict = _verdict(s, record)
     since = s.now - s.broken_since.get(record.group, s.now)
     unusable = [m for m in record.members if _unusable(s, m, verdict)]
@@ -291,7 +293,7 @@
         return None
     if not unusable:
         return _rebind_same_hosts(s, record, verdict)
-    if verdict.whole and not _may_change_members(s, record, since):
+    if verdict.complete and not _may_change_members(s, record, since):
         return None
     spares = [_member(s, f) for f in free[: len(unusable)]]
     if len(spares) == len(unusable):
@@ -310,7 +312,7 @@
     if _is_leaving(s, member.host):
         return True
     fault = verdict.faults.get(member.host)
-    if fault is None or fault in MENDED_BY_ORDERS:
+    if fault is None or fault in FAULTS_FIXED_BY_LOAD:
         return False
     return fault == MemberFault.SILENT or not _present(s, member.host)
 
@@ -320,7 +322,7 @@
     if not verdict.faults:
         return None
     members = tuple(
-        Member(m.host, m.address, s.seen_by_host[m.host].report.boot_id) for m in record.members
+        Member(m.host, m.address, s.report_by_host[m.host].report.boot_id) for m in record.members
     )
     faults = ", ".join(f"{h} {f.value}" for h, f in sorted(verdict.faults.items()))
     return Rebind(record.group, members, f"same hosts rebound: {faults}")
@@ -336,7 +338,7 @@
 
 
 def _with_current_boot(s: Situation, member: Member) -> Member:
-    seen = s.seen_by_host.get(member.host)
+    seen = s.report_by_host.get(member.host)
     return member if seen is None else member._replace(boot_id=seen.report.boot_id)
 
 
@@ -350,7 +352,7 @@
 
 
 def _frees_hosts_for_another(
-    s: Situation, record: GroupRecord, verdict: Verdict, free: Sequence[SeenReport]
+    s: Situation, record: GroupRecord, verdict: Verdict, free: Sequence[TimedReport]
 ) -> bool:
     """Return whether dissolving this group frees enough hosts to complete a more important one."""
     usable = sum(1 for m in record.members if not _unusable(s, m, verdict)) + len(free)
--- a/src/oleanderhill/domains/planner.py
+++ b/src/oleanderhill/domains/planner.py
@@ -1,8 +1,8 @@
 """Sticky assignment of wanted groups to the fabric domains of a data centre.
 
 One entry host of a data centre plans, by compare-and-swap on one key. A group moves only after its
-domain has had too few hosts for longer than the relocation delay (:func:`patience`). It doesn't
-move back when the domain recovers.
+domain has had too few hosts for longer than the relocation delay (:func:`relocation_delay`). It
+doesn't move back when the domain recovers.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
     return 1 + int(exchange_rate * mean_absent**2 > 1.0)
 
 
-def patience(exchange_rate: float) -> float:
+def relocation_delay(exchange_rate: float) -> float:
     """Return seconds before a group leaves a domain that is short of hosts.
 
     The delay is short where downtime is expensive. A move costs a load of weights and hosts of
@@ -143,7 +143,7 @@
         return False
     if state.short_of_hosts_since is None:
         return True
-    return now - state.short_of_hosts_since < patience(exchange_rate)
+    return now - state.short_of_hosts_since < relocation_delay(exchange_rate)
 
 
 def _best_fit(item: WantedGroup, free_capacity: Mapping[str, int]) -> str | None:
--- a/src/oleanderhill/domains/planning.py
+++ b/src/oleanderhill/domains/planning.py
@@ -96,11 +96,11 @@
         self._update_shortages(now)
         members = self.kernel.find("membership", MembershipTask)
         live = members.live(self._data_centre)
-        if not members.settled() or planner_of(self._data_centre, live) != self._host:
+        if not members.startup_complete() or planner_of(self._data_centre, live) != self._host:
             return
         wanted = self.wanted()
         known = self.kernel.find("router", RouterTask).router.by_group
-        complete_groups = frozenset(g for g, e in known.items() if e.view.whole)
+        complete_groups = frozenset(g for g, e in known.items() if e.view.complete)
         rate = self._fleet.exchange_rate
         plan = make_plan(now, self.plan, wanted, self._domain_states(now), rate, complete_groups)
         if plan is self.plan:
--- a/src/oleanderhill/domains/steward.py
+++ b/src/oleanderhill/domains/steward.py
@@ -17,23 +17,23 @@
 import msgspec
 
 from .. import ownership as owners
-from ..ownership import Ownership, Standing
+from ..ownership import Ownership, OwnershipStatus
 from ..routing.completeness import EVIDENCE_MAX_AGE, view_of
 from ..routing.evidence import state_of
 from ..routing.messages import DomainEvidence
 from ..types import DomainLedger, GroupPhase, GroupView, Order, WantedGroup
 from . import ledger as ledgers
 from . import placement
-from .hostwatch import HostWatch
+from .host_reports import HostWatch
 from .order_log import OrderLog
 from .orders import DueOrder, OrderKey, due_orders, order_key
 from .placement import Policy, Situation
 from .stewardship import (
-    AskTicket,
     Decided,
     Effect,
     LedgerAnswer,
     ReadLedger,
+    RequestTicket,
     SendOrder,
     StoreEvent,
     StoreFailed,
@@ -46,10 +46,10 @@
 TICK = 0.5
 """Seconds between ticks."""
 
-GAP = 1.5
+PAUSE_THRESHOLD = 1.5
 """Seconds between two ticks above which the process counts as having been paused."""
 
-FIRST_ROUND = 1.3
+FIRST_PROBE_ROUND = 1.3
 """Seconds until every live host has answered a probe: one tick plus the timeout of a probe."""
 
 IDLE_CONFIRM_INTERVAL = 10.0
@@ -61,7 +61,7 @@
 STORE_RETRY_DELAY = 1.0
 """Seconds before a failed store call is retried; grows with each further failure."""
 
-DISPLACED_WAIT = 30.0
+RETAKE_DELAY = 30.0
 """Seconds before a displaced owner tries to take over again; doubles each time it is displaced."""
 
 OWNER_TIMEOUT = 8.0
@@ -88,11 +88,11 @@
         self.fencing = fencing
         self.watch = HostWatch()
         self.wanted: tuple[WantedGroup, ...] = ()
-        self.life_by_live: Mapping[str, str] = {}
+        self.incarnation_by_host: Mapping[str, str] = {}
         self.settled = False
-        self.owner_heard_at = float("-inf")
+        self.owner_evidence_at = float("-inf")
         self.ledger = DomainLedger(domain)
-        self.mine = Ownership(domain)
+        self.ownership_state = Ownership(domain)
         self.unsaved = False
         self._incarnation = incarnation
         self._index = 0
@@ -103,7 +103,7 @@
         self._write_in_flight: DomainLedger | None = None
         self._next_store_call = 0.0
         self._next_take_over = 0.0
-        self._retake_delay = DISPLACED_WAIT
+        self._retake_delay = RETAKE_DELAY
         self._take_over_attempts = 0
         self._last_tick: float | None = None
         self._watching_since = 0.0
@@ -115,11 +115,11 @@
 
     # Inputs
 
-    def ticket(self, key: OrderKey, wait: float, now: float) -> None:
+    def apply_ticket(self, key: OrderKey, wait: float, now: float) -> None:
         """Apply the answer to a ticket request: granted or, if ``wait`` > 0, to be retried."""
-        self._order_log.ticket(key, wait, now)
+        self._order_log.apply_ticket(key, wait, now)
 
-    def store(self, event: StoreEvent, now: float) -> list[Effect]:
+    def apply_store_event(self, event: StoreEvent, now: float) -> list[Effect]:
         """Apply the result of the store call in flight and return the resulting effects."""
         started = self._call_started if self._call_started is not None else now
         self._call_started = None
@@ -134,7 +134,7 @@
 
     def release_ownership(self) -> None:
         """Give up the domain for good; another entry host takes over once this one has left."""
-        self.mine = owners.lost(self.mine)
+        self.ownership_state = owners.after_loss(self.ownership_state)
         self._next_take_over = float("inf")
 
     # Outputs
@@ -142,21 +142,21 @@
     @property
     def owned(self) -> bool:
         """Return whether this entry host owns the domain, as far as it knows."""
-        return self.mine.owned
+        return self.ownership_state.owned
 
     def may_send(self, order: Order, now: float) -> bool:
         """Return whether an order may be sent now."""
-        if order.fence[0] != self.mine.epoch:
+        if order.fence[0] != self.ownership_state.epoch:
             return False
         if self.fencing:
-            return owners.standing(self.mine, now) == Standing.OWNER
-        return owners.may_order(self.mine, now)
+            return owners.ownership_status(self.ownership_state, now) == OwnershipStatus.OWNER
+        return owners.may_order(self.ownership_state, now)
 
     def views(self, now: float) -> list[GroupView]:
         """Return the current state of each group of the domain."""
         leaving = self.watch.leaving()
         return [
-            view_of(record, self.watch.seen_by_host, leaving, now)
+            view_of(record, self.watch.report_by_host, leaving, now)
             for record in self.ledger.groups.values()
         ]
 
@@ -168,29 +168,31 @@
         return DomainEvidence(
             self.domain,
             data_centre,
-            self.mine.epoch,
+            self.ownership_state.epoch,
             self.ledger.version,
             tuple(state_of(v) for v in self.views(now)),
             tuple(self.ledger.groups.values()) if full else (),
             self.watch.usable(now),
         )
 
-    def can_tell(self, now: float) -> bool:
+    def may_publish(self, now: float) -> bool:
         """Return whether the hosts have been observed for long enough to publish evidence.
 
         A new owner, or one that resumes from a pause, has no fresh reports. Its evidence would
         close every group of the domain at every entry host until its probes are answered.
         """
-        return now - self._watching_since > FIRST_ROUND
+        return now - self._watching_since > FIRST_PROBE_ROUND
 
     def tick(self, now: float) -> list[Effect]:
         """Advance the state to ``now`` and return the effects that are due."""
         self._notice_pause(now)
-        if not self.mine.owned:
+        if not self.ownership_state.owned:
             return self._try_take_over(now)
         self._update_timers(now)
         effects: list[Effect] = []
-        if owners.standing(self.mine, now) == Standing.OWNER and self._reports_are_fresh(now):
+        if owners.ownership_status(
+            self.ownership_state, now
+        ) == OwnershipStatus.OWNER and self._reports_are_fresh(now):
             effects.extend(self._place(now))
         orders = self._send_due_orders(now)
         effects.extend(orders)
@@ -201,11 +203,13 @@
 
     def _try_take_over(self, now: float) -> list[Effect]:
         """Start a take-over if membership suggests this host and the owner sends no evidence."""
-        if not self.settled or not owners.should_own(self.domain, self.me, self.life_by_live):
+        if not self.settled or not owners.should_own(
+            self.domain, self.me, self.incarnation_by_host
+        ):
             return []
         if now < self._next_take_over or self._store_busy(now):
             return []
-        if now - self.owner_heard_at < OWNER_TIMEOUT / 2:
+        if now - self.owner_evidence_at < OWNER_TIMEOUT / 2:
             return []
         return self._call_read(now)
 
@@ -216,16 +220,16 @@
         except msgspec.DecodeError as error:
             self._next_store_call = now + STORE_RETRY_DELAY
             return [Decided("fault", self.domain, f"malformed ledger: {error}")]
-        if self._ledger_read and ledgers.age_of(found) < ledgers.age_of(self.ledger):
+        if self._ledger_read and ledgers.ordering_key(found) < ledgers.ordering_key(self.ledger):
             return self._rewrite_older_store(found, index, now)
         self._index = index
         self._ledger_read = True
-        if not self.mine.owned:
+        if not self.ownership_state.owned:
             self.ledger = found
             return self._take_over(found, now)
-        if found.owner != self.me or found.owner_epoch != self.mine.epoch:
+        if found.owner != self.me or found.owner_epoch != self.ownership_state.epoch:
             return self._apply_displacement(found, now)
-        self.mine = owners.confirmed(self.mine, started)
+        self.ownership_state = owners.after_confirmation(self.ownership_state, started)
         self.ledger = found
         return []
 
@@ -238,8 +242,11 @@
         self._index = index
         if self.unsaved:
             return []
-        text = f"store has version {ledgers.age_of(found)}, last seen {ledgers.age_of(self.ledger)}"
-        if not self.mine.owned:
+        text = (
+            f"store has version {ledgers.ordering_key(found)}, "
+            f"last seen {ledgers.ordering_key(self.ledger)}"
+        )
+        if not self.ownership_state.owned:
             return [Decided("fault", self.domain, text), *self._take_over(self.ledger, now)]
         self.unsaved = True
         return [Decided("fault", self.domain, text + "; writing the newer ledger back")]
@@ -249,7 +256,7 @@
         if ours and self._take_over_attempts:
             return self._apply_take_over(found, now)
         # A live owner keeps its domain: rebalancing would suspend repairs for the take-over wait.
-        if self._owner_acts(found, now):
+        if self._owner_is_active(found, now):
             self._next_take_over = now + IDLE_CONFIRM_INTERVAL
             return []
         self._take_over_attempts += 1
@@ -258,7 +265,7 @@
         )
         return self._call_swap(wanted, now)
 
-    def _owner_acts(self, found: DomainLedger, now: float) -> bool:
+    def _owner_is_active(self, found: DomainLedger, now: float) -> bool:
         """Return whether the owner named in the ledger is alive and acts as the owner.
 
         A live host of that name is not sufficient: a restarted host no longer knows what it owned.
@@ -267,19 +274,19 @@
         """
         if found.owner == self.me:
             return False
-        if self.life_by_live.get(found.owner) != found.owner_life:
+        if self.incarnation_by_host.get(found.owner) != found.owner_incarnation:
             return False
         owner = (found.owner, found.owner_epoch)
         if owner != self._observed_owner:
             self._observed_owner, self._owner_observed_since = owner, now
-        return now - max(self._owner_observed_since, self.owner_heard_at) < OWNER_TIMEOUT
+        return now - max(self._owner_observed_since, self.owner_evidence_at) < OWNER_TIMEOUT
 
     def _write_id(self) -> str:
         return f"{self.me}/{self._incarnation}/{self._take_over_attempts}"
 
     def _apply_take_over(self, ledger: DomainLedger, now: float) -> list[Effect]:
         self.ledger = ledger
-        self.mine = owners.took(self.domain, ledger.owner_epoch, now, now)
+        self.ownership_state = owners.after_take_over(self.domain, ledger.owner_epoch, now, now)
         self.unsaved = False
         self._watching_since = now
         self._broken_since = dict.fromkeys(ledger.groups, now)
@@ -289,7 +296,7 @@
         return [Decided("own", self.domain, text), *self._call_read(now)]
 
     def _apply_displacement(self, found: DomainLedger, now: float) -> list[Effect]:
-        self.mine = owners.lost(self.mine)
+        self.ownership_state = owners.after_loss(self.ownership_state)
         self.ledger = found
         self.unsaved = False
         # Two entry hosts that reach the store but not each other would otherwise displace each
@@ -307,7 +314,7 @@
             return []
         if self.unsaved:
             return self._call_swap(self.ledger, now)
-        age = now - self.mine.confirmed_at
+        age = now - self.ownership_state.confirmed_at
         if age < (ACTIVE_CONFIRM_INTERVAL if active else IDLE_CONFIRM_INTERVAL):
             return []
         return self._call_read(now)
@@ -331,9 +338,9 @@
         written, self._write_in_flight = self._write_in_flight, None
         if not done or written is None:
             return self._call_read(now)
-        if not self.mine.owned:
+        if not self.ownership_state.owned:
             return self._apply_take_over(written, now)
-        self.mine = owners.confirmed(self.mine, started)
+        self.ownership_state = owners.after_confirmation(self.ownership_state, started)
         if self.unsaved:
             self.unsaved = self.ledger is not written
         else:
@@ -344,7 +351,7 @@
         self._failures += 1
         self._next_store_call = now + min(5.0, STORE_RETRY_DELAY * self._failures)
         written, self._write_in_flight = self._write_in_flight, None
-        if not wrote or written is None or not self.mine.owned:
+        if not wrote or written is None or not self.ownership_state.owned:
             return []
         if not self.fencing:
             return []
@@ -368,7 +375,7 @@
         After a pause all reports are old and every member looks silent. Otherwise the owner would
         repair every group as soon as it resumes.
         """
-        if self._last_tick is not None and now - self._last_tick > GAP:
+        if self._last_tick is not None and now - self._last_tick > PAUSE_THRESHOLD:
             self._watching_since = now
             self._broken_since = dict.fromkeys(self.ledger.groups, now)
         self._last_tick = now
@@ -394,7 +401,7 @@
             self.ledger,
             self.wanted,
             self.watch.entry_by_host,
-            self.watch.seen_by_host,
+            self.watch.report_by_host,
             self.watch.empty_since,
             self._broken_since,
             self._draining_since,
@@ -429,7 +436,7 @@
         self._order_log.prune(self.ledger, now)
         sent_at = self._order_log.sent_at
         found = due_orders(
-            self.ledger, self.watch.entry_by_host, self.watch.seen_by_host, sent_at, now
+            self.ledger, self.watch.entry_by_host, self.watch.report_by_host, sent_at, now
         )
         effects: list[Effect] = []
         for item in found:
@@ -440,13 +447,13 @@
         key = order_key(item.order)
         if item.read_gb > 0 and not self._order_log.has_ticket(key):
             should_ask = self._order_log.start_request(key, now)
-            return [AskTicket(key, item.read_gb)] if should_ask else []
-        self.mine, fence = owners.next_fence(self.mine)
+            return [RequestTicket(key, item.read_gb)] if should_ask else []
+        self.ownership_state, fence = owners.next_fencing_number(self.ownership_state)
         order = item.order._replace(fence=fence)
         if not self.may_send(order, now):
             self._order_withheld = True
             return []
-        self._order_log.sent(key, now)
+        self._order_log.record_sent(key, now)
         if order.kind == "load":
             self.watch.expect_load(order.host, now)
         text = f"{order.kind} {order.group} epoch {order.epoch} rank {order.rank}"
--- a/src/oleanderhill/domains/stewards.py
+++ b/src/oleanderhill/domains/stewards.py
@@ -12,8 +12,8 @@
 from ..clients.store import StoreClient
 from ..clients.targets import TargetClient
 from ..decisions import Decisions
-from ..exceptions import TargetRefusedError
-from ..kernel import Kernel, Received, Task
+from ..exceptions import TargetConnectionRefusedError
+from ..kernel import Kernel, PeerMessage, Task
 from ..members.membership import Row
 from ..members.task import MembershipTask
 from ..members.wire import SendTo
@@ -23,20 +23,20 @@
 from ..routing.messages import DomainEvidence, LocalEvidence, RecordsWanted
 from ..settings.fleet import Fleet
 from ..settings.messages import FleetChanged, HostsChanged
-from ..types import HostEntry, Order, SeenReport, WantedGroup
+from ..types import HostEntry, Order, TimedReport, WantedGroup
 from . import stewardship
 from .ledger import ledger_key
+from .measures import Gauges, Sums, accumulate, measure
 from .messages import PlanChanged
 from .orders import OrderKey
 from .placement import Policy
 from .planning import planner_of
 from .steward import TICK, DomainSteward
-from .tally import Gauges, Sums, accumulate, measure
 
-PLANNER_EVERY = 2.0
+PLANNER_UPDATE_INTERVAL = 2.0
 """Seconds between updates of a domain that are sent to the planner."""
 
-FAR_VIEW_DOMAINS = 1
+REMOTE_VIEW_DOMAINS = 1
 """Domains of each remote data centre about which an entry host receives evidence."""
 
 VIEW_DOMAINS = 6
@@ -93,7 +93,7 @@
         for domain in by_domain.keys() - self.by_domain.keys():
             self.by_domain[domain] = self._make_steward(domain)
         for domain, steward in self.by_domain.items():
-            steward.watch.hosts(by_domain.get(domain, []))
+            steward.watch.set_hosts(by_domain.get(domain, []))
 
     @handle.register
     def _(self, message: FleetChanged) -> None:
@@ -109,14 +109,14 @@
             steward.wanted = self._wanted.get(domain, ())
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a message from a peer."""
 
     @receive.register
-    def _(self, body: RecordsWanted, envelope: Received) -> None:
+    def _(self, body: RecordsWanted, envelope: PeerMessage) -> None:
         steward = self.by_domain.get(body.domain)
         now = time.monotonic()
-        if steward is not None and steward.owned and steward.can_tell(now):
+        if steward is not None and steward.owned and steward.may_publish(now):
             evidence = steward.evidence(self._data_centre, now, True)
             self.kernel.post("peers", SendTo(envelope.address, evidence))
 
@@ -124,17 +124,17 @@
         """Run every controller, probe the hosts of owned domains and publish evidence."""
         now = time.monotonic()
         members = self.kernel.find("membership", MembershipTask)
-        life_by_live = {h: r.life for h, r in members.live(self._data_centre).items()}
+        incarnation_by_host = {h: r.run_id for h, r in members.live(self._data_centre).items()}
         received_at_by_domain = self.kernel.find("router", RouterTask).book.received_at_by_domain
         for domain, steward in self.by_domain.items():
-            steward.life_by_live = life_by_live
-            steward.owner_heard_at = received_at_by_domain.get(domain, float("-inf"))
-            steward.settled = members.settled()
+            steward.incarnation_by_host = incarnation_by_host
+            steward.owner_evidence_at = received_at_by_domain.get(domain, float("-inf"))
+            steward.settled = members.startup_complete()
             self._perform(steward, steward.tick(now))
             if steward.owned:
                 for entry in steward.watch.to_probe(now):
                     self.spawn(self._probe(steward, entry))
-                if steward.can_tell(now):
+                if steward.may_publish(now):
                     self._publish(domain, steward, now)
         self._update_measures(now)
 
@@ -148,7 +148,7 @@
     def _update_measures(self, now: float) -> None:
         seconds, self._measured_at = now - self._measured_at, now
         self.gauges_by_domain = {
-            d: measure(s.ledger, s.wanted, s.views(now), s.watch.seen_by_host)
+            d: measure(s.ledger, s.wanted, s.views(now), s.watch.report_by_host)
             for d, s in self.by_domain.items()
             if s.owned
         }
@@ -174,7 +174,7 @@
                     self.spawn(self._call_store(steward, effect))
                 case stewardship.SendOrder(order):
                     self.spawn(self._send(steward, order))
-                case stewardship.AskTicket(key, gigabytes):
+                case stewardship.RequestTicket(key, gigabytes):
                     self.spawn(self._ask_ticket(steward, key, gigabytes))
 
     async def _call_store(
@@ -195,7 +195,7 @@
             event = stewardship.StoreFailed(True)
             if is_successful(swapped):
                 event = stewardship.SwapAnswer(swapped.unwrap())
-        self._perform(steward, steward.store(event, time.monotonic()))
+        self._perform(steward, steward.apply_store_event(event, time.monotonic()))
 
     async def _send(self, steward: DomainSteward, order: Order) -> None:
         # Checked again here: the process may have been paused since the decision, and another
@@ -210,23 +210,23 @@
     async def _ask_ticket(self, steward: DomainSteward, key: OrderKey, gigabytes: float) -> None:
         match await self._targets.ticket(gigabytes):
             case Success(ticket):
-                steward.ticket(key, ticket.wait, time.monotonic())
+                steward.apply_ticket(key, ticket.wait, time.monotonic())
             case _:
-                steward.ticket(key, 1.0, time.monotonic())
+                steward.apply_ticket(key, 1.0, time.monotonic())
 
     async def _probe(self, steward: DomainSteward, entry: HostEntry) -> None:
         self.probes += 1
         sent_at = time.monotonic()
         result = await self._targets.probe(entry.address)
         if not is_successful(result):
-            if isinstance(result.failure(), TargetRefusedError):
-                steward.watch.refused(entry.host, sent_at)
+            if isinstance(result.failure(), TargetConnectionRefusedError):
+                steward.watch.record_refused_probe(entry.host, sent_at)
             return
         if result.unwrap().host == entry.host:
-            steward.watch.saw(SeenReport(result.unwrap(), sent_at))
+            steward.watch.apply_report(TimedReport(result.unwrap(), sent_at))
 
     def _publish(self, domain: str, steward: DomainSteward, now: float) -> None:
-        version = (steward.mine.epoch, steward.ledger.version)
+        version = (steward.ownership_state.epoch, steward.ledger.version)
         full = steward.evidence(self._data_centre, now, True)
         changed = self._sent_version.get(domain) != version
         self._sent_version[domain] = version
@@ -239,7 +239,7 @@
 
     def _update_planner(self, domain: str, evidence: DomainEvidence, now: float) -> None:
         """Send evidence to the planner, which needs it for all domains, but less often."""
-        if now - self._planner_updated_at.get(domain, float("-inf")) < PLANNER_EVERY:
+        if now - self._planner_updated_at.get(domain, float("-inf")) < PLANNER_UPDATE_INTERVAL:
             return
         self._planner_updated_at[domain] = now
         live = self.kernel.find("membership", MembershipTask).live(self._data_centre)
@@ -251,7 +251,7 @@
         """Return the addresses of the entry hosts that receive evidence about a domain.
 
         An entry host of this data centre receives evidence about :data:`VIEW_DOMAINS` domains, one
-        of another data centre about :data:`FAR_VIEW_DOMAINS`, chosen by rendezvous hash, so that
+        of another data centre about :data:`REMOTE_VIEW_DOMAINS`, chosen by rendezvous hash, so that
         views and their traffic don't grow with the fleet. Up to :data:`VIEW_DOMAINS` domains in
         total, every entry host receives evidence about all of them.
         """
@@ -266,5 +266,5 @@
 
     def _domains_sent_to(self, row: Row, domains: list[str]) -> tuple[str, ...]:
         is_local = row.data_centre == self._data_centre
-        count = VIEW_DOMAINS if is_local else FAR_VIEW_DOMAINS
+        count = VIEW_DOMAINS if is_local else REMOTE_VIEW_DOMAINS
         return rendezvous(f"view/{row.host}", domains, count)
--- a/src/oleanderhill/domains/stewardship.py
+++ b/src/oleanderhill/domains/stewardship.py
@@ -30,7 +30,7 @@
     order: Order
 
 
-class AskTicket(NamedTuple):
+class RequestTicket(NamedTuple):
     """Effect: request a ticket from the weight store, which permits reading the weights."""
 
     key: OrderKey
@@ -69,7 +69,7 @@
 
 
 StoreEvent = LedgerAnswer | SwapAnswer | StoreFailed
-Effect = ReadLedger | SwapLedger | SendOrder | AskTicket | Decided
+Effect = ReadLedger | SwapLedger | SendOrder | RequestTicket | Decided
 
 
 def encode_ledger(ledger: DomainLedger) -> bytes:
--- a/src/oleanderhill/entry.py
+++ b/src/oleanderhill/entry.py
@@ -26,7 +26,7 @@
 from .metrics import Metrics
 from .operators.server import OperatorServer
 from .requests.edge import Edge
-from .requests.suspects import SuspectsTask
+from .requests.quarantine import RequestQuarantineTask
 from .routing.dispatch import RouterTask
 from .routing.services import ServiceFinder
 from .settings.fleet import DEFAULT_ENTRY_HOSTS
@@ -56,7 +56,7 @@
     kernel = Kernel()
     peers_address = boot["listen"]["peers"]
     incarnation_id = secrets.token_hex(4)
-    own_row = Row(host, peers_address, data_centre, incarnation, 0, life=incarnation_id)
+    own_row = Row(host, peers_address, data_centre, incarnation, 0, run_id=incarnation_id)
     kernel.register(Peers(kernel, host, peers_address, incarnation, DESTINATION_BY_TYPE, decisions))
     kernel.register(MembershipTask(kernel, own_row, boot["peers"], rng, decisions))
     kernel.register(LimitsTask(kernel, host, DEFAULT_ENTRY_HOSTS))
@@ -67,7 +67,9 @@
     )
     kernel.register(PlanningTask(kernel, host, data_centre, decisions))
     kernel.register(Claims(kernel, host, data_centre, store, decisions))
-    kernel.register(SuspectsTask(kernel, host, rng, decisions, lambda: len(router.router.by_group)))
+    kernel.register(
+        RequestQuarantineTask(kernel, host, rng, decisions, lambda: len(router.router.by_group))
+    )
     kernel.register(
         Edge(
             kernel,
@@ -114,7 +116,7 @@
     so that other entry hosts take over the domains while the requests in flight here complete.
     """
     edge = kernel.find("edge", Edge)
-    edge.withdrawn = True
+    edge.readiness_withdrawn = True
     decisions.note("drain", edge.host, f"not ready, {edge.in_flight} in flight")
     await asyncio.sleep(READINESS_LAG)
     edge.draining = True
--- a/src/oleanderhill/exceptions.py
+++ b/src/oleanderhill/exceptions.py
@@ -87,7 +87,7 @@
         super().__init__(f"store unavailable: {reason}")
 
 
-class NoReadingError(StoreError):
+class NoStoreCopyError(StoreError):
     """The entry host that reads the store is reachable but has no copy of the data yet."""
 
     def __init__(self, peer: str) -> None:
@@ -101,11 +101,11 @@
         super().__init__(f"store answer lost: {reason}")
 
 
-class StoreCutError(StoreAnswerLostError):
+class StoreConnectionClosedError(StoreAnswerLostError):
     """The connection was closed before the response was received."""
 
 
-class OrderRefusedError(OleanderhillError):
+class OrderRejectedError(OleanderhillError):
     """An engine rejected an order, for example one with an outdated fencing number."""
 
     def __init__(self, host: str, reason: str) -> None:
@@ -121,7 +121,7 @@
         super().__init__(f"target {address}: {reason}")
 
 
-class TargetRefusedError(TargetUnreachableError):
+class TargetConnectionRefusedError(TargetUnreachableError):
     """The host is up but refuses connections at the target's address."""
 
 
--- a/src/oleanderhill/groups/owner.py
+++ b/src/oleanderhill/groups/owner.py
@@ -15,7 +15,7 @@
 from ..clients.keyed import KeyedCopy
 from ..clients.mirror import Mirror
 from ..clients.storage import NEVER, Revision, Storage, StoreConflictError, Write
-from ..clock import awake_or_not
+from ..clock import boottime_seconds
 from ..kernel import Kernel, Task
 from ..records import Records
 from ..settings.catalog import Catalog
@@ -165,7 +165,7 @@
         self.spawn(self.tick())
 
     def _refresh_all(self) -> None:
-        now = awake_or_not()
+        now = boottime_seconds()
         catalog = self._catalog()
         # An outdated copy must not lead to orders: the plan may have another owner by now.
         if catalog is None or not self._mirror.fresh(now):
@@ -260,12 +260,12 @@
             for instance, unanswered in zip(
                 contactable, await asyncio.gather(*probes), strict=True
             ):
-                keeper.probed(instance, unanswered, awake_or_not())
+                keeper.probed(instance, unanswered, boottime_seconds())
                 if unanswered:
                     silent = True
                     self._records.note("probe", "silent", instance=str(instance), group=group.name)
         finally:
-            self._probe_rounds.end(group.name, silent, awake_or_not())
+            self._probe_rounds.end(group.name, silent, boottime_seconds())
             self.refresh_soon()
 
     async def _probe_host(self, instance: Instance) -> bool:
@@ -312,7 +312,7 @@
             return
         host = self._inventory.by_instance.get(action.instance)
         if host is None:
-            keeper.ended(action, OrderOutcome.SILENT, awake_or_not())
+            keeper.ended(action, OrderOutcome.SILENT, boottime_seconds())
             return
         self.spawn(self._send_order(action, host.address, plan, keeper))
 
@@ -320,7 +320,7 @@
         self, order: Order, address: str, plan: DomainPlan, keeper: DomainKeeper
     ) -> None:
         end = await self._orders.send(order, address, plan.term)
-        now = awake_or_not()
+        now = boottime_seconds()
         self._records.note(
             "order",
             end.value,
@@ -361,7 +361,7 @@
                     for item in error.held.values():
                         self._plans.put(item.key, item.value, item.revision)
                 else:
-                    self._retry_write_at[plan.domain] = awake_or_not() + WRITE_RETRY_SECONDS
+                    self._retry_write_at[plan.domain] = boottime_seconds() + WRITE_RETRY_SECONDS
             self._records.note(
                 "plan",
                 outcome,
--- a/src/oleanderhill/groups/plans.py
+++ b/src/oleanderhill/groups/plans.py
@@ -51,7 +51,7 @@
 class DomainPlan(NamedTuple):
     """The plan of a domain.
 
-    :param owner: entry host that may give orders; ``owner_life`` is its incarnation
+    :param owner: entry host that may give orders; ``owner_incarnation`` is its incarnation
     :param term: increases with each take-over; fencing token of the owner's orders
     :param last_epoch: epoch of the newest group
     :param generation: generation of the store in which the plan was last written
--- a/src/oleanderhill/groups/readers.py
+++ b/src/oleanderhill/groups/readers.py
@@ -18,7 +18,7 @@
 from ..clients.relay import PeerSource
 from ..clients.storage import Revision, Storage
 from ..clients.store_reads import Source, StoreSource
-from ..exceptions import NoReadingError, StoreError
+from ..exceptions import NoStoreCopyError, StoreError
 from ..ownership import rendezvous
 from ..records import Records
 from .ownership import PRESENCE_PREFIX, Presence, rank_by_strength
@@ -137,7 +137,7 @@
             seconds = AVOID_STORE_SECONDS
         else:
             seconds = (
-                AVOID_EMPTY_SECONDS if isinstance(error, NoReadingError) else AVOID_SILENT_SECONDS
+                AVOID_EMPTY_SECONDS if isinstance(error, NoStoreCopyError) else AVOID_SILENT_SECONDS
             )
             self._store_first_until = now + STORE_FIRST_SECONDS
         self._avoid_until[source.name] = now + seconds
--- a/src/oleanderhill/journal/claims.py
+++ b/src/oleanderhill/journal/claims.py
@@ -19,7 +19,7 @@
 
 from ..clients.store import StoreClient
 from ..decisions import Decisions
-from ..kernel import Kernel, Received, Task
+from ..kernel import Kernel, PeerMessage, Task
 from ..members.task import MembershipTask
 from ..members.wire import SendTo
 from ..ownership import rendezvous
@@ -90,11 +90,11 @@
                 self._perform(shard, journal.retry())
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a message from a peer."""
 
     @receive.register
-    def _(self, body: ClaimAsk, envelope: Received) -> None:
+    def _(self, body: ClaimAsk, envelope: PeerMessage) -> None:
         journal = self._journals[body.shard]
         if body.row.kind != RowKind.CLAIM:
             self._perform(body.shard, journal.note(body.row))
@@ -103,7 +103,7 @@
         self._perform(body.shard, journal.claim(body.row))
 
     @receive.register
-    def _(self, body: ClaimAnswer, envelope: Received) -> None:
+    def _(self, body: ClaimAnswer, envelope: PeerMessage) -> None:
         waiting = self._waiting.pop(body.nonce, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(Decided(body.nonce, body.verdict, body.row))
--- a/src/oleanderhill/kernel.py
+++ b/src/oleanderhill/kernel.py
@@ -26,7 +26,7 @@
         super().__init__(f"no service named {name}")
 
 
-class Received(NamedTuple):
+class PeerMessage(NamedTuple):
     """A peer's message as delivered to a task.
 
     :param sender: name of the sending host
@@ -70,7 +70,7 @@
         self.longest = max(self.longest, seconds)
         self._max_since_read = max(self._max_since_read, seconds)
 
-    def take(self) -> float:
+    def pop_longest(self) -> float:
         """Return the maximum lag since the previous call, and reset it."""
         longest, self._max_since_read = self._max_since_read, 0.0
         return longest
@@ -159,13 +159,13 @@
         """Handle a message from another task. Unknown types are ignored."""
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a peer's message. Unknown types are ignored, since a newer peer may send them."""
 
     async def tick(self) -> None:
         """Do the task's periodic work."""
 
-    def failed(self, error: BaseException) -> None:
+    def log_failure(self, error: BaseException) -> None:
         """Log an unexpected exception in this task's work. The task keeps running."""
         trace = "".join(traceback.format_exception(error))[-MAX_TRACE_CHARS:]
         eliot.log_message(
@@ -175,11 +175,11 @@
     def _on_finished(self, task: asyncio.Task[None]) -> None:
         self._running.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.failed(task.exception() or OleanderhillError())
+            self.log_failure(task.exception() or OleanderhillError())
 
     def dispatch(self, message: Any) -> None:
         """Pass a message to the handler for its type."""
-        if isinstance(message, Received):
+        if isinstance(message, PeerMessage):
             self.receive(message.body, message)
         else:
             self.handle(message)
@@ -190,14 +190,14 @@
             try:
                 self.dispatch(message)
             except Exception as error:  # one failing message must not end the task
-                self.failed(error)
+                self.log_failure(error)
 
     async def _tick_loop(self) -> None:
         while True:
             try:
                 await self.tick()
             except Exception as error:  # one failing tick must not end the task
-                self.failed(error)
+                self.log_failure(error)
             due_at = time.monotonic() + self.interval
             await asyncio.sleep(self.interval)
             self.kernel.lag.record(time.monotonic() - due_at)
--- a/src/oleanderhill/limits/limiting.py
+++ b/src/oleanderhill/limits/limiting.py
@@ -6,7 +6,7 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from ..kernel import Kernel, Received, Task
+from ..kernel import Kernel, PeerMessage, Task
 from ..members.task import MembershipTask
 from ..members.wire import SendTo
 from ..settings.messages import FleetChanged
@@ -57,9 +57,9 @@
         self.limits.configure(rates)
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a peer's message."""
 
     @receive.register
-    def _(self, body: Demand, envelope: Received) -> None:
+    def _(self, body: Demand, envelope: PeerMessage) -> None:
         self.limits.learn(envelope.sender, body)
--- a/src/oleanderhill/members/membership.py
+++ b/src/oleanderhill/members/membership.py
@@ -57,7 +57,7 @@
         incremented to refute outdated rows about this host
     :param heartbeat: incremented by the host itself once per interval
     :param left: whether the host announced that it leaves
-    :param life: random id of one run of the process; unlike ``incarnation``, constant during it
+    :param run_id: random id of one run of the process; unlike ``incarnation``, constant during it
     """
 
     host: str
@@ -66,7 +66,7 @@
     incarnation: int
     heartbeat: int
     left: bool = False
-    life: str = ""
+    run_id: str = ""
 
 
 class Heartbeat(NamedTuple):
@@ -87,11 +87,11 @@
     heartbeats: tuple[Heartbeat, ...] = ()
 
 
-class Known(NamedTuple):
+class KnownPeer(NamedTuple):
     """A row and the local time at which its heartbeat last increased."""
 
     row: Row
-    risen_at: float
+    heartbeat_at: float
 
 
 class Send(NamedTuple):
@@ -112,7 +112,7 @@
         self.me = me
         self._seeds = tuple(s for s in seeds if s != me.address)
         self._rng = rng
-        self.by_host: dict[str, Known] = {}
+        self.by_host: dict[str, KnownPeer] = {}
         self._heartbeat_sends: dict[str, int] = {}
         self._row_sends: dict[tuple[str, int, bool], int] = {}
         self._started_at = now
@@ -131,7 +131,7 @@
         for row in message.rows:
             if row.host == self.me.host:
                 self._refute(row)
-            elif self._take(now, row):
+            elif self._merge_row(now, row):
                 now_live.append(row)
         for heartbeat in message.heartbeats:
             self._apply_heartbeat(now, heartbeat)
@@ -151,7 +151,7 @@
         if known is None or known.row.left:
             return PeerState.LEFT
         limit = self.suspect_after() if self._is_local(known.row) else REMOTE_SUSPECT_AFTER
-        return PeerState.LIVE if now - known.risen_at <= limit else PeerState.SUSPECT
+        return PeerState.LIVE if now - known.heartbeat_at <= limit else PeerState.SUSPECT
 
     def suspect_after(self) -> float:
         """Return the seconds without a heartbeat until a host of this data centre is suspected.
@@ -171,7 +171,7 @@
             return rows
         return {h: r for h, r in rows.items() if r.data_centre == data_centre}
 
-    def settled(self, now: float) -> bool:
+    def startup_complete(self, now: float) -> bool:
         """Return whether enough time has passed since the start to know the other hosts."""
         return now - self._started_at > 2 * GOSSIP_INTERVAL + 0.5
 
@@ -181,20 +181,20 @@
         if newer or (row.incarnation == self.me.incarnation and row.left and not self.me.left):
             self.me = self.me._replace(incarnation=row.incarnation + 1)
 
-    def _take(self, now: float, row: Row) -> bool:
+    def _merge_row(self, now: float, row: Row) -> bool:
         known = self.by_host.get(row.host)
         if known is None:
             if not self._may_store(row):
                 return False
-            self.by_host[row.host] = Known(row, now)
+            self.by_host[row.host] = KnownPeer(row, now)
             return not row.left
         old = (known.row.incarnation, known.row.left, known.row.heartbeat)
         # "Left" takes precedence over heartbeats of the same incarnation. Otherwise a heartbeat
         # sent before the host left, and still being gossiped, would mark the host as live again.
         if (row.incarnation, row.left, row.heartbeat) <= old:
             return False
-        was_known_live = now - known.risen_at <= SUSPECT_AFTER and not known.row.left
-        self.by_host[row.host] = Known(row, now)
+        was_known_live = now - known.heartbeat_at <= SUSPECT_AFTER and not known.row.left
+        self.by_host[row.host] = KnownPeer(row, now)
         return not was_known_live and not row.left
 
     def _apply_heartbeat(self, now: float, received: Heartbeat) -> None:
@@ -207,7 +207,7 @@
             return
         if received.heartbeat > known.row.heartbeat:
             self._heartbeat_sends[received.host] = 0
-            self.by_host[received.host] = Known(
+            self.by_host[received.host] = KnownPeer(
                 known.row._replace(heartbeat=received.heartbeat), now
             )
 
@@ -221,7 +221,7 @@
         return known < REMOTE_CONTACTS
 
     def _drop_silent_hosts(self, now: float) -> None:
-        silent = [h for h, k in self.by_host.items() if now - k.risen_at > FORGET_AFTER]
+        silent = [h for h, k in self.by_host.items() if now - k.heartbeat_at > FORGET_AFTER]
         for host in silent:
             del self.by_host[host]
             self._heartbeat_sends.pop(host, None)
@@ -260,7 +260,7 @@
         be suspected.
         """
         known = [k for h, k in self.by_host.items() if not k.row.left]
-        known.sort(key=lambda k: (self._heartbeat_sends.get(k.row.host, 0), -k.risen_at))
+        known.sort(key=lambda k: (self._heartbeat_sends.get(k.row.host, 0), -k.heartbeat_at))
         picked = known[:HEARTBEATS_PER_MESSAGE]
         for k in picked:
             self._heartbeat_sends[k.row.host] = self._heartbeat_sends.get(k.row.host, 0) + 1
--- a/src/oleanderhill/members/peers.py
+++ b/src/oleanderhill/members/peers.py
@@ -13,7 +13,7 @@
 
 from ..decisions import Decisions
 from ..kernel import Kernel, Task
-from .wire import SendTo, decode_message, make_decoders, pack
+from .wire import SendTo, decode_message, encode_message, make_decoders
 
 SEND_BUFFER_MESSAGES = 64
 """Messages buffered for a slow peer; more are dropped, as all are sent again periodically."""
@@ -75,7 +75,7 @@
         """Send a message without blocking; drop it if the peer's send buffer is full."""
         if address == self._address:
             return
-        data = pack(self._host, self._address, self._incarnation, time.monotonic(), body)
+        data = encode_message(self._host, self._address, self._incarnation, time.monotonic(), body)
         socket = self._socket(address)
         try:
             socket.send(data, block=False)
--- a/src/oleanderhill/members/task.py
+++ b/src/oleanderhill/members/task.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..decisions import Decisions
-from ..kernel import Kernel, Received, Task
+from ..kernel import Kernel, PeerMessage, Task
 from .membership import GOSSIP_INTERVAL, Gossip, Membership, Row
 from .wire import SendTo
 
@@ -31,9 +31,9 @@
         """Return the live entry hosts by name, including this one."""
         return self.membership.live(time.monotonic(), data_centre)
 
-    def settled(self) -> bool:
+    def startup_complete(self) -> bool:
         """Return whether the view of the others is complete enough after the start to act on it."""
-        return self.membership.settled(time.monotonic())
+        return self.membership.startup_complete(time.monotonic())
 
     async def tick(self) -> None:
         """Send this interval's gossip and log the changes of peer states."""
@@ -53,9 +53,9 @@
             self.kernel.post("peers", SendTo(send.address, send.message))
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a peer's message."""
 
     @receive.register
-    def _(self, body: Gossip, envelope: Received) -> None:
+    def _(self, body: Gossip, envelope: PeerMessage) -> None:
         self.membership.receive(envelope.arrived, body)
--- a/src/oleanderhill/members/wire.py
+++ b/src/oleanderhill/members/wire.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..clients.compression import compress_message, decompress_message
-from ..kernel import Received
+from ..kernel import PeerMessage
 
 Decoders = Mapping[str, "msgspec.msgpack.Decoder[Any]"]
 
@@ -50,7 +50,7 @@
     return {kind.__name__: msgspec.msgpack.Decoder(kind) for kind in kinds}
 
 
-def pack(sender: str, address: str, incarnation: int, stamp: float, body: Any) -> bytes:
+def encode_message(sender: str, address: str, incarnation: int, stamp: float, body: Any) -> bytes:
     """Return the encoded and compressed message."""
     raw = msgspec.Raw(_ENCODER.encode(body))
     kind = type(body).__name__
@@ -59,7 +59,7 @@
     )
 
 
-def decode_message(data: bytes, arrived: float, decoders: Decoders) -> Received | None:
+def decode_message(data: bytes, arrived: float, decoders: Decoders) -> PeerMessage | None:
     """Decode a message; return ``None`` if its type is unknown.
 
     :raises msgspec.DecodeError: if the bytes are malformed
@@ -69,6 +69,6 @@
     if decoder is None:
         return None
     body = decoder.decode(envelope.body)
-    return Received(
+    return PeerMessage(
         envelope.sender, envelope.address, envelope.incarnation, envelope.stamp, arrived, body
     )
--- a/src/oleanderhill/operators/cli.py
+++ b/src/oleanderhill/operators/cli.py
@@ -178,7 +178,7 @@
     """
     if log:
         lines = explain_log(subject, _read(log).decode(errors="replace").splitlines())
-        print(dumps([line.facts for line in lines]) if json else show_lines(lines))
+        print(dumps([line.fields for line in lines]) if json else show_lines(lines))
         return
     answers = _get_from_all(at, f"/v1/explain/{subject.replace('#', '%23')}")
     print(dumps(answers) if json else show_decisions(subject, answers))
--- a/src/oleanderhill/operators/explaining.py
+++ b/src/oleanderhill/operators/explaining.py
@@ -25,13 +25,13 @@
 
     :param at: wall clock, in seconds
     :param part: the component that logged it
-    :param facts: all fields of the line
+    :param fields: all fields of the line
     """
 
     at: float
     host: str
     part: str
-    facts: dict[str, Any]
+    fields: dict[str, Any]
 
 
 def parse_line(text: str) -> LogLine | None:
@@ -82,10 +82,10 @@
 
 
 def _format_line(line: LogLine, start: float) -> str:
-    first = [str(line.facts[n]) for n in LEADING_FIELDS if line.facts.get(n)]
+    first = [str(line.fields[n]) for n in LEADING_FIELDS if line.fields.get(n)]
     rest = [
         f"{name}={value}"
-        for name, value in line.facts.items()
+        for name, value in line.fields.items()
         if name not in HIDDEN_FIELDS and name not in LEADING_FIELDS and value is not None
     ]
     return (
@@ -97,14 +97,14 @@
     """Return all subjects of a line."""
     subjects = set()
     for name in ("request_id", "target", "group", "about", "instance", "domain"):
-        value = line.facts.get(name)
+        value = line.fields.get(name)
         if isinstance(value, str):
             subjects.add(value)
     # One line lists several changed hosts, each as a list that starts with instance and group.
-    for host in line.facts.get("hosts") or ():
+    for host in line.fields.get("hosts") or ():
         if isinstance(host, list):
             subjects |= {str(name) for name in host[:2] if name}
-    reason = line.facts.get("reason")
+    reason = line.fields.get("reason")
     if line.part == "plan" and isinstance(reason, str):
         subjects |= set(reason.replace(";", " ").split())
     return subjects
@@ -112,8 +112,8 @@
 
 def _involved(line: LogLine) -> set[str]:
     """Return the groups and hosts in a line about a request."""
-    involved = {str(line.facts["target"])} if "target" in line.facts else set()
-    for place in line.facts.get("path") or ():
+    involved = {str(line.fields["target"])} if "target" in line.fields else set()
+    for place in line.fields.get("path") or ():
         if isinstance(place, str):
             involved |= set(place.split(":"))
     return involved
--- a/src/oleanderhill/operators/server.py
+++ b/src/oleanderhill/operators/server.py
@@ -10,9 +10,9 @@
 from tornado.web import Application, RequestHandler
 
 from ..decisions import Decision, Decisions
+from ..domains.measures import stranded_hosts
 from ..domains.planning import PlanningTask
 from ..domains.stewards import Stewards
-from ..domains.tally import stranded_hosts
 from ..exceptions import SettingsInvalidError
 from ..journal.claims import Claims
 from ..kernel import Kernel
@@ -97,8 +97,8 @@
         return {
             team: {
                 "revision": s.revision,
-                "seen": s.seen,
-                "age": round(now - s.learned_at, 1),
+                "seen": s.latest_revision,
+                "age": round(now - s.applied_at, 1),
                 "findings": list(s.findings),
             }
             for team, s in sorted(documents.in_force.state_by_team.items())
@@ -107,13 +107,13 @@
     def _edge_status(self) -> dict[str, Any]:
         edge = self.kernel.find("edge", Edge)
         documents = self.kernel.find("documents", DocumentsTask)
-        age = time.monotonic() - documents.store_ok_at
+        age = time.monotonic() - documents.store_read_at
         return {
             "ready": edge.ready,
             "draining": edge.draining,
             "in_flight": edge.in_flight,
             "answers": dict(sorted(edge.metrics.count_by_name.items())),
-            "store_seen": round(age, 1) if documents.store_ok_at else None,
+            "store_seen": round(age, 1) if documents.store_read_at else None,
             "journal_idle": self.kernel.find("claims", Claims).idle,
         }
 
@@ -126,7 +126,7 @@
                 "epoch": e.view.epoch,
                 "data_centre": e.data_centre,
                 "domain": e.domain,
-                "whole": e.view.whole,
+                "whole": e.view.complete,
                 "takes_requests": router.may_send(group, e.view.epoch, now),
                 "evidence_age": round(now - e.verified_at, 2),
                 "hosts": [m.host for m in e.view.members],
@@ -150,9 +150,11 @@
                 "unsaved": s.unsaved,
                 "hosts": len(s.watch.entry_by_host),
                 "usable": s.watch.usable(now) if s.owned else None,
-                "stranded": sorted(stranded_hosts(s.ledger, s.views(now), s.watch.seen_by_host)),
+                "stranded": sorted(stranded_hosts(s.ledger, s.views(now), s.watch.report_by_host)),
                 "wanted": [w.group for w in s.wanted],
-                "confirmed_age": round(now - s.mine.confirmed_at, 1) if s.owned else None,
+                "confirmed_age": (
+                    round(now - s.ownership_state.confirmed_at, 1) if s.owned else None
+                ),
             }
             for d, s in sorted(stewards.by_domain.items())
         ]
@@ -165,7 +167,7 @@
                 "host": h,
                 "data_centre": k.row.data_centre,
                 "state": membership.state(h, now).value,
-                "heard": round(now - k.risen_at, 1),
+                "heard": round(now - k.heartbeat_at, 1),
             }
             for h, k in sorted(membership.by_host.items())
         ]
--- a/src/oleanderhill/ownership.py
+++ b/src/oleanderhill/ownership.py
@@ -20,11 +20,11 @@
 CONFIRM_WINDOW = 2.0
 """Seconds after the *start* of a confirming store call in which orders may be sent."""
 
-TAKE_OVER_WAIT = 2.5
+TAKE_OVER_DELAY = 2.5
 """Seconds that a new owner waits before its first order: the confirmation window, plus an allowance
 for clock drift and for an order of the previous owner in flight."""
 
-ORDER_LIFE = 0.4
+ORDER_SEND_TIMEOUT = 0.4
 """Seconds in which an order must be sent, reserved at the end of the confirmation window."""
 
 
@@ -34,7 +34,7 @@
     return tuple(ranked[:count])
 
 
-class Standing(StrEnum):
+class OwnershipStatus(StrEnum):
     """The ownership status of this entry host for one domain."""
 
     NONE = "none"
@@ -59,28 +59,28 @@
     owned: bool = False
 
 
-def took(domain: str, epoch: int, call_started: float, acknowledged: float) -> Ownership:
+def after_take_over(domain: str, epoch: int, call_started: float, acknowledged: float) -> Ownership:
     """Return the state after a take-over that the store acknowledged."""
-    return Ownership(domain, epoch, acknowledged + TAKE_OVER_WAIT, call_started, 0, True)
+    return Ownership(domain, epoch, acknowledged + TAKE_OVER_DELAY, call_started, 0, True)
 
 
-def confirmed(state: Ownership, call_started: float) -> Ownership:
+def after_confirmation(state: Ownership, call_started: float) -> Ownership:
     """Return the state after a store call begun at ``call_started`` confirmed the ownership."""
     return state._replace(confirmed_at=max(state.confirmed_at, call_started))
 
 
-def lost(state: Ownership) -> Ownership:
+def after_loss(state: Ownership) -> Ownership:
     """Return the state after the ledger was observed with another owner or epoch."""
     return state._replace(owned=False)
 
 
-def standing(state: Ownership, now: float) -> Standing:
+def ownership_status(state: Ownership, now: float) -> OwnershipStatus:
     """Return the ownership status at ``now``."""
     if not state.owned:
-        return Standing.NONE
+        return OwnershipStatus.NONE
     if now < state.first_order_at:
-        return Standing.WAITING
-    return Standing.OWNER
+        return OwnershipStatus.WAITING
+    return OwnershipStatus.OWNER
 
 
 def may_order(state: Ownership, now: float) -> bool:
@@ -91,12 +91,12 @@
     confirmation is then older than the window, which the new owner waits out before its first
     order.
     """
-    if standing(state, now) != Standing.OWNER:
+    if ownership_status(state, now) != OwnershipStatus.OWNER:
         return False
-    return now - state.confirmed_at <= CONFIRM_WINDOW - ORDER_LIFE
+    return now - state.confirmed_at <= CONFIRM_WINDOW - ORDER_SEND_TIMEOUT
 
 
-def next_fence(state: Ownership) -> tuple[Ownership, tuple[int, int]]:
+def next_fencing_number(state: Ownership) -> tuple[Ownership, tuple[int, int]]:
     """Return the updated state and the fencing number of the next order."""
     updated = state._replace(sequence=state.sequence + 1)
     return updated, (state.epoch, updated.sequence)
--- a/src/oleanderhill/platform/configuration.py
+++ b/src/oleanderhill/platform/configuration.py
@@ -50,7 +50,7 @@
             return False
         if self.catalog is not None and catalog.version < self.catalog.version:
             # The store was restored from a backup that is older than the current configuration.
-            self._note_older(catalog, revision)
+            self._record_older(catalog, revision)
             return False
         self._apply(catalog, Change(key, value, revision))
         return True
@@ -59,7 +59,7 @@
         """Return the current configuration while the store has an older one, otherwise nothing."""
         return () if self._current is None or self._older_revision is None else (self._current,)
 
-    def _note_older(self, catalog: Catalog, revision: Revision) -> None:
+    def _record_older(self, catalog: Catalog, revision: Revision) -> None:
         # A freshness check against the older revision does not verify the current configuration.
         self._freshness.suspended = True
         if self._older_revision == revision:
--- a/src/oleanderhill/platform/decoding.py
+++ b/src/oleanderhill/platform/decoding.py
@@ -12,9 +12,9 @@
     Account,
     Backend,
     Catalog,
-    EngineShape,
-    EngineTimes,
-    ModelShape,
+    EngineProfile,
+    EngineTiming,
+    ModelProfile,
     Repeatable,
     Route,
     Service,
@@ -277,19 +277,19 @@
         return Service(found.name, found.max_connections)
     engine = found.runtime
     models = {
-        m.name: ModelShape(m.name, m.size, m.traffic_share, m.pace, m.load_s, m.warm_s)
+        m.name: ModelProfile(m.name, m.size, m.traffic_share, m.pace, m.load_s, m.warm_s)
         for m in engine.models
     }
-    shape = EngineShape(
+    shape = EngineProfile(
         engine.max_batch, engine.loads_per_s, engine.loads_at_once, models, _engine_times(engine)
     )
     return Service(found.name, found.max_connections, shape)
 
 
-def _engine_times(engine: _Engine) -> EngineTimes | None:
+def _engine_times(engine: _Engine) -> EngineTiming | None:
     if min(engine.step_ms, engine.read_per_s, engine.usual.answer) <= 0:
         return None
-    return EngineTimes(
+    return EngineTiming(
         engine.step_ms / 1000,
         engine.per_seq_ms / 1000,
         engine.context_per_k / 1e6,
--- a/src/oleanderhill/platform/entry.py
+++ b/src/oleanderhill/platform/entry.py
@@ -19,7 +19,7 @@
 from ..clients.listening import ListenStatus, check_listening
 from ..clients.mirror import Mirror, Subscription, subscribe
 from ..clients.relay import RelayServer
-from ..clock import awake_or_not, processor_seconds
+from ..clock import boottime_seconds, processor_seconds
 from ..exceptions import OleanderhillError
 from ..exposition import Exposition
 from ..groups.inventory import Inventory, Removal
@@ -30,7 +30,7 @@
 from ..groups.readers import ReadingSources
 from ..kernel import Kernel
 from ..outcomes import Problem
-from ..records import Records, keep_flushing, log_bounded
+from ..records import Records, flush_periodically, log_to_descriptor
 from ..routing.backoffs import Backoffs
 from ..routing.target_limits import CallKind, TargetLimits
 from ..serving.admission import RetryDetector, admit
@@ -96,8 +96,8 @@
         self._settings = settings
         self._rng = random.Random(secrets.randbits(64))
         self._records = Records(settings.host)
-        self._output = log_bounded(descriptor)
-        self._started_at = awake_or_not()
+        self._output = log_to_descriptor(descriptor)
+        self._started_at = boottime_seconds()
         self._retry_budget_by_service: dict[str, SharedRetryBudget] = {}
         self._retry_detector = RetryDetector()
         self._max_entry_hosts = 1
@@ -110,7 +110,7 @@
         self.kernel = Kernel()
         self._caller = HttpCaller()
         self._store = PlatformStore(s.store, HttpCaller(), records)
-        self._freshness = Freshness(s.key_removal)
+        self._freshness = Freshness(s.key_removal_seconds)
         self._configuration = ConfigurationCopy(self._freshness, records)
         self._inventory = Inventory()
         self._hosts = HostList(
@@ -205,7 +205,13 @@
         )
         serving = ServeCallbacks(self._serve, self._ready, self._max_body_bytes)
         self.front = Front(
-            self.kernel, s.callers, s.balancer, s.grace, self._codec, serving, records
+            self.kernel,
+            s.callers,
+            s.readiness_address,
+            s.grace_seconds,
+            self._codec,
+            serving,
+            records,
         )
         gossip = GossipTask(
             self.kernel,
@@ -249,7 +255,7 @@
         loop.add_signal_handler(signal.SIGTERM, stop.set)
         loop.add_signal_handler(signal.SIGINT, stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        flushing = asyncio.create_task(keep_flushing(self._output))
+        flushing = asyncio.create_task(flush_periodically(self._output))
         s = self._settings
         self._records.note(
             "process",
@@ -321,7 +327,7 @@
         return self._configuration.catalog
 
     def _on_store_read(self, now: float) -> None:
-        self._hosts.settle(now)
+        self._hosts.finish_read(now)
         self._plans.expire(now)
         self._presences.expire(now)
         self._update_host_count()
@@ -361,11 +367,11 @@
         return budget
 
     def _loads_exempt(self) -> bool:
-        just_started = awake_or_not() - self._started_at < FREE_LOADS_SECONDS
+        just_started = boottime_seconds() - self._started_at < FREE_LOADS_SECONDS
         return self._settings.first_start and just_started and not self._request_seen
 
     def _ready(self) -> bool:
-        return self._catalog is not None and self._freshness.is_fresh(awake_or_not())
+        return self._catalog is not None and self._freshness.is_fresh(boottime_seconds())
 
     def _max_body_bytes(self) -> int:
         return self._catalog.max_body if self._catalog is not None else 4 * 1024 * 1024
@@ -373,7 +379,7 @@
     async def _serve(self, incoming: Incoming, host: str, path: str, sink: CallerSink) -> None:
         self._request_seen = True
         await self._await_configuration(incoming)
-        now = awake_or_not()
+        now = boottime_seconds()
         current = self._freshness.is_fresh(now)
         accepted = admit(self._catalog, current, incoming.facts, host, path)
         if isinstance(accepted, Problem):
@@ -392,7 +398,7 @@
             return
         service = pick_backend(accepted.route, self._rng)
         budget = self._retry_budget(service)
-        budget.request(time.monotonic())
+        budget.record_request(time.monotonic())
         caller_timeout = incoming.facts.caller_timeout
         is_retry = self._retry_detector.is_retry(
             accepted.route.name, caller_timeout, incoming.first_on_connection
@@ -425,9 +431,9 @@
             "store_calls": self._store.calls_by_kind,
             "connections": self._caller.opened,
             "orders": self._orders.orders_sent,
-            "probes": self._orders.asked,
+            "probes": self._orders.probes_sent,
             "in_flight": self.front.in_flight,
-            "copy_age_s": round(self._mirror.age(awake_or_not()), 2),
+            "copy_age_s": round(self._mirror.age(boottime_seconds()), 2),
         }
 
     def _register_gauges(self) -> None:
@@ -438,12 +444,14 @@
         )
         register("orders", "Orders to engine hosts", lambda: self._orders.orders_sent)
         register(
-            "proof_age_seconds", "Age of the proof", lambda: self._freshness.age(awake_or_not())
+            "proof_age_seconds", "Age of the proof", lambda: self._freshness.age(boottime_seconds())
         )
         register(
-            "store_copy_age_seconds", "Age of the copy", lambda: self._mirror.age(awake_or_not())
+            "store_copy_age_seconds",
+            "Age of the copy",
+            lambda: self._mirror.age(boottime_seconds()),
         )
-        register("probes", "Questions to engine hosts", lambda: self._orders.asked)
+        register("probes", "Questions to engine hosts", lambda: self._orders.probes_sent)
         register("loop_held_up_seconds", "Longest so far", lambda: self.kernel.lag.longest)
         register("connections_opened", "Connections to targets", lambda: self._caller.opened)
         register("endings", "Targets that ended with requests", lambda: self._quarantine.sizes[0])
--- a/src/oleanderhill/platform/headers.py
+++ b/src/oleanderhill/platform/headers.py
@@ -64,7 +64,7 @@
 _BACKOFF_STATUSES = frozenset({429, 503})
 """Statuses of replies whose ``Retry-After`` is a request to back off."""
 
-UNREADABLE_BACKOFF = 2.0
+DEFAULT_BACKOFF_SECONDS = 2.0
 """Seconds of back-off if a target asks for one with an unreadable duration."""
 
 MAX_UNKNOWN_NAMES = 64
@@ -101,7 +101,7 @@
             int(last) if last.isdigit() else None,
         )
 
-    def to_target(
+    def target_request_headers(
         self,
         headers: HTTPHeaders,
         account: str | None,
@@ -149,7 +149,7 @@
             return not request_id or SEAL not in headers
         return named == request_id
 
-    def to_caller(self, headers: HTTPHeaders) -> HTTPHeaders:
+    def caller_reply_headers(self, headers: HTTPHeaders) -> HTTPHeaders:
         """Return the headers of a target's reply that is forwarded to the caller."""
         return _forwarded_headers(headers, frozenset())
 
@@ -167,10 +167,10 @@
     """Decode the hints about itself that a target adds to any reply."""
     backoff = _backoff(headers) if status in _BACKOFF_STATUSES else None
     leaving = headers.get(LEAVING, "").strip() not in ("", "0")
-    return Notice(named_limit(headers), backoff, leaving)
+    return Notice(stated_limit(headers), backoff, leaving)
 
 
-def named_limit(headers: HTTPHeaders) -> StatedLimit | None:
+def stated_limit(headers: HTTPHeaders) -> StatedLimit | None:
     """Return the lowest rate limit that a reply states, or ``None`` if it states none."""
     named = [part for value in headers.get_list(LIMIT) for part in value.split(",")]
     return min(map(_parse_limit, named), key=lambda n: n.rate or 0.0, default=None)
@@ -193,7 +193,7 @@
         reply_date = parsedate_to_datetime(headers["Date"])
         return max(0.0, (parsedate_to_datetime(text) - reply_date).total_seconds())
     except (KeyError, TypeError, ValueError):
-        return UNREADABLE_BACKOFF
+        return DEFAULT_BACKOFF_SECONDS
 
 
 def _parse_limit(text: str) -> StatedLimit:
--- a/src/oleanderhill/platform/host_list.py
+++ b/src/oleanderhill/platform/host_list.py
@@ -114,7 +114,7 @@
         self._changed.append(_host_change(host))
         return True
 
-    def settle(self, now: float) -> None:
+    def finish_read(self, now: float) -> None:
         """Drop the hosts whose entries are missing for too long, and log what changed."""
         for removal in self._inventory.expire(now):
             self._handle_removal(removal)
--- a/src/oleanderhill/platform/orders.py
+++ b/src/oleanderhill/platform/orders.py
@@ -73,7 +73,7 @@
     :param on_notice: called with a host's incarnation, the notice in its reply and the send time
     :param may_contact: returns whether anything may be sent to an incarnation now
     :ivar orders_sent: number of orders sent
-    :ivar asked: number of probes sent
+    :ivar probes_sent: number of probes sent
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self._on_notice = on_notice
         self.may_contact = may_contact
         self.orders_sent = 0
-        self.asked = 0
+        self.probes_sent = 0
 
     async def send(self, order: Order, address: str, term: int) -> OrderOutcome:
         """Send an order and return its outcome.
@@ -129,7 +129,7 @@
 
     async def answers(self, instance: Instance, address: str) -> bool:
         """Probe an address and return whether this incarnation of the host answers there."""
-        self.asked += 1
+        self.probes_sent += 1
         headers = {EXPECT_INSTANCE: instance.name}
         call = Call(
             address,
--- a/src/oleanderhill/platform/settings.py
+++ b/src/oleanderhill/platform/settings.py
@@ -57,12 +57,13 @@
     """Settings of an entry host; all durations are in seconds.
 
     :param callers: ``ip:port`` on which requests of callers are served
-    :param balancer: ``ip:port`` on which readiness probes of the load balancer are answered
+    :param readiness_address: ``ip:port`` on which readiness probes of the load balancer are
+        answered
     :param peers: ``ip:port`` on which datagrams of other entry hosts are received
     :param store: ``ip:port`` of the store
     :param first_start: whether this is the first start of the whole deployment
-    :param grace: time between the stop signal and the forced end of the process
-    :param key_removal: time after which a removed API key must be rejected everywhere
+    :param grace_seconds: time between the stop signal and the forced end of the process
+    :param key_removal_seconds: time after which a removed API key must be rejected everywhere
     :param strength: capacity for comparison with other hosts: CPU share times link rate in Mbit/s
     """
 
@@ -70,12 +71,12 @@
     ip: str
     data_centre: str
     callers: str
-    balancer: str
+    readiness_address: str
     peers: str
     store: str
     first_start: bool
-    grace: float
-    key_removal: float
+    grace_seconds: float
+    key_removal_seconds: float
     retry_ratio: float
     retry_window: float
     retry_slack: float
--- a/src/oleanderhill/platform/store.py
+++ b/src/oleanderhill/platform/store.py
@@ -28,7 +28,7 @@
 )
 from ..exceptions import (
     StoreAnswerLostError,
-    StoreCutError,
+    StoreConnectionClosedError,
     StoreError,
     StoreUnavailableError,
 )
@@ -259,7 +259,7 @@
 
 def _store_error(failure: CallFailure) -> StoreError:
     if failure.sent and failure.kind == FailureKind.LOST:
-        return StoreCutError(failure.reason)
+        return StoreConnectionClosedError(failure.reason)
     if failure.sent:
         return StoreAnswerLostError(failure.reason)
     return StoreUnavailableError(failure.reason)
--- a/src/oleanderhill/records.py
+++ b/src/oleanderhill/records.py
@@ -138,14 +138,14 @@
         return False
 
 
-async def keep_flushing(output: BoundedOutput) -> None:
+async def flush_periodically(output: BoundedOutput) -> None:
     """Flush the buffer periodically."""
     while True:
         await asyncio.sleep(FLUSH_INTERVAL)
         output.flush()
 
 
-def log_bounded(descriptor: int) -> BoundedOutput:
+def log_to_descriptor(descriptor: int) -> BoundedOutput:
     """Write the log of this process to a file descriptor, and return the output to flush."""
     output = BoundedOutput(descriptor)
     eliot.add_destinations(output)
--- a/src/oleanderhill/requests/attempts.py
+++ b/src/oleanderhill/requests/attempts.py
@@ -71,7 +71,7 @@
     reason: str
 
 
-class Piece(NamedTuple):
+class EventsReceived(NamedTuple):
     """``events`` complete stream events arrived."""
 
     attempt: int
@@ -95,7 +95,7 @@
     """The deadline passed."""
 
 
-class CallerGone(NamedTuple):
+class CallerDisconnected(NamedTuple):
     """The caller closed its connection."""
 
 
@@ -142,11 +142,11 @@
     | ConnectFailed
     | Sending
     | NotStarted
-    | Piece
+    | EventsReceived
     | Finished
     | Lost
     | DeadlineHit
-    | CallerGone
+    | CallerDisconnected
     | Quarantined
 )
 Effect = Select | Dispatch | Cancel | Deliver | Fail
@@ -173,21 +173,23 @@
     :param floor: retries per second allowed at any request rate
     """
 
-    CAP = 50.0
+    MAX_TOKENS = 50.0
 
     def __init__(self, ratio: float = 0.2, floor: float = 5.0) -> None:
         self._ratio = ratio
         self._floor = floor
-        self._tokens = self.CAP / 2
+        self._tokens = self.MAX_TOKENS / 2
         self._refilled_at = 0.0
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Add the retry allowance of a new request."""
-        self._tokens = min(self.CAP, self._tokens + self._ratio)
+        self._tokens = min(self.MAX_TOKENS, self._tokens + self._ratio)
 
     def remaining(self, now: float) -> float:
         """Return the number of retries available."""
-        self._tokens = min(self.CAP, self._tokens + self._floor * max(0.0, now - self._refilled_at))
+        self._tokens = min(
+            self.MAX_TOKENS, self._tokens + self._floor * max(0.0, now - self._refilled_at)
+        )
         self._refilled_at = now
         return self._tokens
 
@@ -212,7 +214,7 @@
         self.offset = 0
         self.sent = False
         self.maybe_ran = False
-        self.arrived = 0
+        self.attempts_sent = 0
         self.choice: Choice | None = None
         self.tried: frozenset[str] = frozenset()
         self._budget = budget
@@ -232,22 +234,22 @@
                 return self._on_chosen(result)
             case Sending():
                 self.sent = True
-                self.arrived += 1
+                self.attempts_sent += 1
                 self.phase = Phase.SENT
                 return []
-            case Piece(_, events):
+            case EventsReceived(_, events):
                 self.phase = Phase.STREAMING
                 self.offset += events
                 return []
             case Finished():
                 return self._finish([Deliver()])
             case ConnectFailed(_, reason) | NotStarted(_, reason):
-                return self._not_run(reason, now)
+                return self._retry_unstarted(reason, now)
             case Lost(_, reason):
-                return self._lost(reason, now)
+                return self._on_attempt_lost(reason, now)
             case DeadlineHit():
                 return self._fail(outcomes.deadline_passed(self.ran()))
-            case CallerGone():
+            case CallerDisconnected():
                 return self._finish(self._cancel())
             case Quarantined(problem):
                 return self._fail(problem)
@@ -257,12 +259,12 @@
         """Return the execution status to report if the request ended now without an answer."""
         return Ran.UNKNOWN if self.sent or self.maybe_ran else Ran.NO
 
-    def may_move(self, now: float) -> bool:
+    def may_retry_elsewhere(self, now: float) -> bool:
         """Return whether the request may leave a target that seems stuck for another one."""
         if self.phase == Phase.DONE or self._attempts_exhausted(now):
             return False
         repeatable = self.request.idempotent or not self.sent
-        return repeatable and (self.arrived == 0 or self._budget.remaining(now) >= 1.0)
+        return repeatable and (self.attempts_sent == 0 or self._budget.remaining(now) >= 1.0)
 
     def _attempts_exhausted(self, now: float) -> bool:
         """Return whether no further attempt is allowed.
@@ -271,7 +273,7 @@
         """
         if self.attempt >= MAX_ATTEMPTS or now >= self.request.deadline:
             return True
-        return self.arrived >= self.request.max_attempts
+        return self.attempts_sent >= self.request.max_attempts
 
     def _is_late(self, event: Event) -> bool:
         attempt = getattr(event, "attempt", None)
@@ -287,15 +289,15 @@
         self.phase = Phase.CONNECTING
         return [Dispatch(self.attempt, result, self.offset)]
 
-    def _not_run(self, reason: str, now: float) -> list[Effect]:
+    def _retry_unstarted(self, reason: str, now: float) -> list[Effect]:
         """Retry elsewhere: the target did not run the request, so it need not be idempotent."""
         self.sent = False
         problem = outcomes.no_capacity(reason, RETRY_AFTER_SECONDS)
         return self._retry(problem._replace(ran=self.ran()), now)
 
-    def _lost(self, reason: str, now: float) -> list[Effect]:
+    def _on_attempt_lost(self, reason: str, now: float) -> list[Effect]:
         if not self.sent:
-            return self._not_run(reason, now)
+            return self._retry_unstarted(reason, now)
         # Bytes were sent and no answer came, so a retry could run the request twice, such as pay a
         # bill twice. The caller is told immediately that the outcome is unknown, and can decide.
         if not self.request.idempotent:
@@ -307,7 +309,7 @@
     def _retry(self, problem: Problem, now: float) -> list[Effect]:
         if self.choice is not None:
             self.tried = self.tried | {self.choice.target}
-        if self._attempts_exhausted(now) or (self.arrived > 0 and not self._budget.take(now)):
+        if self._attempts_exhausted(now) or (self.attempts_sent > 0 and not self._budget.take(now)):
             return self._finish([Fail(problem)])
         self.phase = Phase.CHOOSING
         self.choice = None
--- a/src/oleanderhill/requests/edge.py
+++ b/src/oleanderhill/requests/edge.py
@@ -56,7 +56,7 @@
         self.budget = RetryBudget()
         self.stall_timeouts = StallTimeouts()
         self.in_flight = 0
-        self.withdrawn = False
+        self.readiness_withdrawn = False
         self.draining = False
 
     async def start(self) -> None:
@@ -78,7 +78,7 @@
     @property
     def ready(self) -> bool:
         """Return whether the load balancer should send callers to this host."""
-        return not self.withdrawn and self.kernel.find("documents", DocumentsTask).loaded
+        return not self.readiness_withdrawn and self.kernel.find("documents", DocumentsTask).loaded
 
     @singledispatchmethod
     def handle(self, message: Any) -> None:
@@ -100,4 +100,4 @@
         if wait is not None:
             self.decisions.note("limit", account.account, f"rejected, retry after {wait:.1f} s")
             raise ProblemError(outcomes.over_limit(wait))
-        self.budget.request()
+        self.budget.record_request()
--- a/src/oleanderhill/requests/exchange.py
+++ b/src/oleanderhill/requests/exchange.py
@@ -24,8 +24,8 @@
 from . import attempts
 from .attempts import Effect, Event, Request, RequestMachine, RetryBudget
 from .identity import identity
+from .quarantine import RequestQuarantineTask
 from .stall import EVENT_GAP_BOUNDS, FIRST_TOKEN_BOUNDS, StallTimeout
-from .suspects import SuspectsTask
 
 GROUP_HEADER = "X-Oleanderhill-Group"
 RUN_HEADER = "X-Oleanderhill-Run"
@@ -129,7 +129,7 @@
         budget: RetryBudget,
         stall_timeouts: StallTimeouts,
         decisions: Decisions,
-        suspects: SuspectsTask,
+        suspects: RequestQuarantineTask,
     ) -> None:
         self._outgoing = outgoing
         self._suspects = suspects
@@ -166,7 +166,7 @@
 
     def on_caller_disconnected(self) -> None:
         """Handle that the caller closed its connection."""
-        self._events.put_nowait(attempts.CallerGone())
+        self._events.put_nowait(attempts.CallerDisconnected())
 
     async def run(self) -> None:
         """Run the request until its final answer is sent."""
@@ -380,7 +380,7 @@
 
     def forward(self, number: int, count: int, chunk: bytes) -> Awaitable[None] | None:
         """Forward complete stream events to the caller."""
-        self._machine.handle(attempts.Piece(number, count), time.monotonic())
+        self._machine.handle(attempts.EventsReceived(number, count), time.monotonic())
         return self._sink.write_events(chunk)
 
     def store_reply(self, reply: Reply) -> None:
--- a/src/oleanderhill/requests/handlers.py
+++ b/src/oleanderhill/requests/handlers.py
@@ -26,8 +26,8 @@
 from ..settings.schema import PlainService
 from .attempts import Request, RetryBudget
 from .exchange import Exchange, StallTimeouts, TargetFinder, TargetRequest
+from .quarantine import RequestQuarantineTask
 from .sink import AnsweringHandler, CallerSink
-from .suspects import SuspectsTask
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 DEFAULT_TIMEOUT = 60.0
@@ -80,7 +80,7 @@
     budget: RetryBudget
     stall_timeouts: StallTimeouts
     in_flight: int
-    withdrawn: bool
+    readiness_withdrawn: bool
 
     @property
     def ready(self) -> bool:
@@ -207,7 +207,7 @@
             edge.budget,
             edge.stall_timeouts,
             edge.decisions,
-            edge.kernel.find("suspects", SuspectsTask),
+            edge.kernel.find("suspects", RequestQuarantineTask),
         )
         await self.exchange.run()
         return sink
@@ -288,7 +288,7 @@
 
     async def get(self) -> None:
         self.set_status(200 if self.edge.ready else 503)
-        self.finish({"ready": self.edge.ready, "draining": self.edge.withdrawn})
+        self.finish({"ready": self.edge.ready, "draining": self.edge.readiness_withdrawn})
 
 
 class NotFoundHandler(BaseHandler):
--- a/src/oleanderhill/requests/suspects.py
+++ b/src/oleanderhill/requests/quarantine.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from ..clients.listening import CHECK_DELAYS, ListenStatus, check_listening
-from ..clock import awake_or_not
+from ..clock import boottime_seconds
 from ..decisions import Decisions
-from ..kernel import Kernel, Received, Task
+from ..kernel import Kernel, PeerMessage, Task
 from ..members.task import MembershipTask
 from ..members.wire import SendTo
 from ..outcomes import Problem, Ran
@@ -32,7 +32,7 @@
 """Seconds between full updates, which reach peers that restarted or were partitioned."""
 
 
-class SuspectsTask(Task):
+class RequestQuarantineTask(Task):
     """Tracks the target crashes and the quarantined requests known to this entry host.
 
     :param targets: returns the number of targets that serve now
@@ -62,7 +62,7 @@
 
     def rejection_for(self, identity: str, ran: Ran) -> Problem | None:
         """Return why a request is rejected, or ``None`` if it may be sent."""
-        return self._tracker.problem(identity, awake_or_not(), ran)
+        return self._tracker.problem(identity, boottime_seconds(), ran)
 
     def may_send(self, identity: str) -> bool:
         """Return whether a request is not quarantined at this moment."""
@@ -73,7 +73,7 @@
     ) -> None:
         """Record that an attempt was lost at a target, ``ran_for`` seconds after it was sent."""
         incarnation = f"{at.host}@{at.boot_id}"
-        new = self._tracker.lost(identity, incarnation, ran_for, awake_or_not())
+        new = self._tracker.lost(identity, incarnation, ran_for, boottime_seconds())
         text = f"attempt lost at {incarnation} after {ran_for:.2f} s, request identity {identity}"
         self._decisions.note("route", request_id, text, (identity,))
         if new:
@@ -81,14 +81,14 @@
 
     def record_answer(self, identity: str) -> None:
         """Record that a request was answered completely."""
-        cleared, quarantined = self._tracker.answered(identity, awake_or_not())
+        cleared, quarantined = self._tracker.answered(identity, boottime_seconds())
         if cleared:
             self._decisions.note("route", identity, "cleared by a complete answer")
         self._log_quarantined(quarantined, "another request was cleared")
 
     async def tick(self) -> None:
         """Send pending updates to a few peers."""
-        now = awake_or_not()
+        now = boottime_seconds()
         self._tracker.targets = self._targets()
         self._tracker.forget(now)
         full = now - self._full_update_at >= FULL_UPDATE_INTERVAL
@@ -104,13 +104,14 @@
                 self.kernel.post("peers", SendTo(address, update))
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a peer's message."""
 
     @receive.register
-    def _(self, body: EndingNews, envelope: Received) -> None:
+    def _(self, body: EndingNews, envelope: PeerMessage) -> None:
         self._log_quarantined(
-            self._tracker.apply_peer_update(body, awake_or_not()), f"reported by {envelope.sender}"
+            self._tracker.apply_peer_update(body, boottime_seconds()),
+            f"reported by {envelope.sender}",
         )
 
     async def _confirm_crash(self, incarnation: str, address: str) -> None:
@@ -119,7 +120,7 @@
             await asyncio.sleep(seconds)
             if await self._probe(address) == ListenStatus.REFUSED:
                 self._log_quarantined(
-                    self._tracker.confirm_ended(incarnation, awake_or_not()),
+                    self._tracker.confirm_ended(incarnation, boottime_seconds()),
                     f"{incarnation} crashed",
                 )
                 return
--- a/src/oleanderhill/routing/completeness.py
+++ b/src/oleanderhill/routing/completeness.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from ..types import EngineState, GroupPhase, GroupRecord, GroupView, Member, SeenReport
+from ..types import EngineState, GroupPhase, GroupRecord, GroupView, Member, TimedReport
 
 EVIDENCE_MAX_AGE = 2.0
 """Seconds for which a report is valid. A group stops at most this long after a silent loss."""
@@ -33,14 +33,14 @@
     :param oldest: sending time of the oldest probe used
     """
 
-    whole: bool
+    complete: bool
     faults: dict[str, MemberFault]
     oldest: float
     leaving: bool
 
 
 def member_fault(
-    record: GroupRecord, rank: int, seen: SeenReport | None, now: float, max_age: float
+    record: GroupRecord, rank: int, seen: TimedReport | None, now: float, max_age: float
 ) -> MemberFault | None:
     """Return the fault of the member of this rank, ``None`` if it is healthy."""
     member = record.members[rank]
@@ -60,20 +60,20 @@
 
 def evaluate_group(
     record: GroupRecord,
-    seen_by_host: Mapping[str, SeenReport],
+    report_by_host: Mapping[str, TimedReport],
     now: float,
     max_age: float = EVIDENCE_MAX_AGE,
 ) -> Verdict:
     """Evaluate one group by the reports of its members.
 
-    :param seen_by_host: the latest report of each host
+    :param report_by_host: the latest report of each host
     :param now: local monotonic time, in seconds
     """
     faults: dict[str, MemberFault] = {}
     oldest = now
     leaving = False
     for rank, member in enumerate(record.members):
-        seen = seen_by_host.get(member.host)
+        seen = report_by_host.get(member.host)
         fault = member_fault(record, rank, seen, now, max_age)
         if fault is not None:
             faults[member.host] = fault
@@ -87,7 +87,7 @@
 
 def view_of(
     record: GroupRecord,
-    seen_by_host: Mapping[str, SeenReport],
+    report_by_host: Mapping[str, TimedReport],
     leaving_hosts: frozenset[str],
     now: float,
 ) -> GroupView:
@@ -95,18 +95,18 @@
 
     :param leaving_hosts: hosts that are leaving according to the platform's list or a report
     """
-    verdict = evaluate_group(record, seen_by_host, now)
+    verdict = evaluate_group(record, report_by_host, now)
     leaving = verdict.leaving or any(m.host in leaving_hosts for m in record.members)
     draining = record.phase == GroupPhase.DRAINING
-    head = seen_by_host.get(record.head.host)
+    head = report_by_host.get(record.head.host)
     running, waiting, capacity = _load(head)
     return GroupView(
         group=record.group,
         epoch=record.epoch,
         spec=record.spec,
         members=record.members,
-        whole=verdict.whole,
-        accepting=verdict.whole and not leaving and not draining,
+        complete=verdict.complete,
+        accepting=verdict.complete and not leaving and not draining,
         age_ms=int((now - verdict.oldest) * 1000),
         running=running,
         waiting=waiting,
@@ -114,7 +114,7 @@
     )
 
 
-def _load(head: SeenReport | None) -> tuple[int, int, int]:
+def _load(head: TimedReport | None) -> tuple[int, int, int]:
     if head is None:
         return 0, 0, 1
     return head.report.running, head.report.waiting, max(1, head.report.capacity)
--- a/src/oleanderhill/routing/dispatch.py
+++ b/src/oleanderhill/routing/dispatch.py
@@ -13,11 +13,11 @@
 
 from ..clients.targets import TargetClient
 from ..decisions import Decisions
-from ..kernel import Kernel, Received, Task
+from ..kernel import Kernel, PeerMessage, Task
 from ..members.wire import SendTo
 from ..settings.fleet import Fleet
 from ..settings.messages import FleetChanged, HostsChanged
-from ..types import GroupRecord, HostState, SeenReport
+from ..types import GroupRecord, HostState, TimedReport
 from .evidence import EvidenceTracker
 from .messages import DomainEvidence, LocalEvidence, RecordsWanted
 from .router import Choice, Evidence, NoChoice, Requirements, Router
@@ -166,11 +166,11 @@
         self.router.leaving_hosts = frozenset(leaving)
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a peer's message."""
 
     @receive.register
-    def _(self, body: DomainEvidence, envelope: Received) -> None:
+    def _(self, body: DomainEvidence, envelope: PeerMessage) -> None:
         # The planner gets the evidence of other owners in the same form as that of this host.
         self.kernel.post("planner", LocalEvidence(body, envelope.arrived))
         if self.book.receive(body, envelope):
@@ -220,5 +220,5 @@
         finally:
             self._groups_being_probed.discard(record.group)
         reports = [r.unwrap() for r in results if is_successful(r)]
-        seen_by_host = {r.host: SeenReport(r, sent_at) for r in reports}
-        self.book.probed(evidence, record, seen_by_host, sent_at, time.monotonic())
+        report_by_host = {r.host: TimedReport(r, sent_at) for r in reports}
+        self.book.probed(evidence, record, report_by_host, sent_at, time.monotonic())
--- a/src/oleanderhill/routing/evidence.py
+++ b/src/oleanderhill/routing/evidence.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from ..kernel import Received
-from ..types import GroupRecord, GroupView, SeenReport
+from ..kernel import PeerMessage
+from ..types import GroupRecord, GroupView, TimedReport
 from .completeness import EVIDENCE_MAX_AGE, evaluate_group, view_of
 from .messages import DomainEvidence, GroupState
 from .router import Evidence, Router
@@ -48,7 +48,7 @@
         self.received_at_by_domain: dict[str, float] = {}
         self._offsets = ClockOffsets()
 
-    def receive(self, body: DomainEvidence, envelope: Received) -> bool:
+    def receive(self, body: DomainEvidence, envelope: PeerMessage) -> bool:
         """Apply a peer's evidence about a domain that it owns.
 
         Return whether the domain's records are needed to read it.
@@ -98,16 +98,16 @@
         self,
         evidence: Evidence,
         record: GroupRecord,
-        seen_by_host: Mapping[str, SeenReport],
+        report_by_host: Mapping[str, TimedReport],
         sent_at: float,
         now: float,
     ) -> None:
         """Apply the members' reports of this host's own probe of a group."""
-        if not evaluate_group(record, seen_by_host, now, EVIDENCE_MAX_AGE).whole:
+        if not evaluate_group(record, report_by_host, now, EVIDENCE_MAX_AGE).complete:
             return
-        view = view_of(record, seen_by_host, frozenset(), now)
+        view = view_of(record, report_by_host, frozenset(), now)
         # Only the owner knows of a drain; the members' reports do not show it.
-        draining = evidence.view.whole and not evidence.view.accepting
+        draining = evidence.view.complete and not evidence.view.accepting
         view = view._replace(accepting=view.accepting and not draining)
         self.router.learn(evidence._replace(view=view, verified_at=sent_at))
 
@@ -139,7 +139,7 @@
 
 def state_of(view: GroupView) -> GroupState:
     """Return the frequently changing part of a view."""
-    flags = FLAG_COMPLETE * view.whole + FLAG_ACCEPTING * view.accepting
+    flags = FLAG_COMPLETE * view.complete + FLAG_ACCEPTING * view.accepting
     return GroupState(flags, view.age_ms, view.running, view.waiting, view.capacity)
 
 
--- a/src/oleanderhill/routing/router.py
+++ b/src/oleanderhill/routing/router.py
@@ -146,7 +146,7 @@
         known = self.by_group.get(group)
         if known is None:
             return False
-        if known.view.epoch != epoch or not known.view.whole:
+        if known.view.epoch != epoch or not known.view.complete:
             return False
         return now - known.verified_at <= 2 * EVIDENCE_MAX_AGE
 
--- a/src/oleanderhill/serving/admission.py
+++ b/src/oleanderhill/serving/admission.py
@@ -42,7 +42,7 @@
     route = catalog.find_route(host.partition(":")[0].lower(), path)
     if route is None:
         return _no_route() if current else _stale("configuration may be old")
-    if route.public or not catalog.keyed:
+    if route.public or not catalog.requires_key:
         return Accepted(route, None)
     if not current:
         return _stale("keys may have been taken away")
--- a/src/oleanderhill/serving/admission_class.py
+++ b/src/oleanderhill/serving/admission_class.py
@@ -59,16 +59,16 @@
 waits for another is still on time, and a late one delays the others little."""
 
 
-def admission_class(is_retry: bool, arrived: int, begun: bool) -> AdmissionClass:
+def admission_class(is_retry: bool, attempts_sent: int, begun: bool) -> AdmissionClass:
     """Return the admission class of a request.
 
     :param is_retry: whether it is a retry after a rejection
-    :param arrived: number of targets that it was sent to
+    :param attempts_sent: number of targets that it was sent to
     :param begun: whether the caller has received the first event
     """
     if begun:
         return AdmissionClass.BEGUN
-    return AdmissionClass.LATE if is_retry or arrived else AdmissionClass.FRESH
+    return AdmissionClass.LATE if is_retry or attempts_sent else AdmissionClass.FRESH
 
 
 def queue_limit(
