--- a/src/oleanderhill/serving/driver.py
+++ b/src/oleanderhill/serving/driver.py
@@ -21,11 +21,11 @@
     Deliver,
     Dispatch,
     Effect,
+    EventsReceived,
     Fail,
     Finished,
     Lost,
     NotStarted,
-    Piece,
     Quarantined,
     Request,
     RequestMachine,
@@ -87,7 +87,7 @@
         deadline = min(self._caller_deadline, incoming.arrived + route.timeout)
         stream = route.repeatable == Repeatable.STREAM
         request = Request(
-            incoming.facts.request_id, route.may_run_again, stream, deadline, route.max_attempts
+            incoming.facts.request_id, route.is_retryable, stream, deadline, route.max_attempts
         )
         self.machine = RequestMachine(request, budget)
         self.order = EventSequence(incoming.facts.last_event)
@@ -131,11 +131,11 @@
         if self._first_event_at is None:
             self._first_event_at = now
             # The caller gets the first target's headers, also if another target resumes the stream.
-            headers = self.context.codec.to_caller(run.reply_headers)
+            headers = self.context.codec.caller_reply_headers(run.reply_headers)
             self._sink.begin(run.status, headers)
         self.context.book.progress(run.choice.group, now)
         self.context.quarantine.progress(run.choice.head.boot_id)
-        self.machine.handle(Piece(self.machine.attempt, events), now)
+        self.machine.handle(EventsReceived(self.machine.attempt, events), now)
         return self._sink.write(data)
 
     def _advance(self, event: object) -> list[Effect]:
@@ -166,7 +166,7 @@
 
     def apply_notice(self, run: Attempt, reading: ReplyInfo) -> None:
         """Process the notice in the headers of a reply from the target."""
-        if not reading.own:
+        if not reading.from_expected_target:
             return
         incarnation, notice = run.choice.head.boot_id, reading.notice
         source = StatementSource(CallKind.REQUEST, self._sent_at, self._incoming.facts.request_id)
@@ -197,7 +197,7 @@
         if found is None:
             no_capacity = bool(candidates)
             reason = self._describe_no_capacity(candidates) if no_capacity else "no target serves"
-            if not self.machine.arrived:
+            if not self.machine.attempts_sent:
                 self.context.book.count_rejection(self._incoming.facts.model, time.monotonic())
             return NoChoice(reason, no_capacity, no_capacity)
         self._permit = self.context.book.limits.take(found.incarnations, now)
@@ -224,12 +224,12 @@
 
     def _admission_class(self) -> AdmissionClass:
         return admission_class(
-            self._is_retry, self.machine.arrived, self._first_event_at is not None
+            self._is_retry, self.machine.attempts_sent, self._first_event_at is not None
         )
 
     def _queue_limit(self) -> QueueLimit:
         route = self._accepted.route
-        waiting = self.context.max_waiting(self._incoming.facts.model, route.goal)
+        waiting = self.context.max_waiting(self._incoming.facts.model, route.latency_goal)
         return queue_limit(self._admission_class(), route.generates, waiting)
 
     async def _attempt(self, attempt: int, choice: Choice) -> list[Effect]:
@@ -262,7 +262,7 @@
         account = accepted.account.name if accepted.account is not None else None
         urgency = accepted.priority + self._queue_limit().urgency
         priority = urgency if accepted.route.generates else None
-        headers = self.context.codec.to_target(
+        headers = self.context.codec.target_request_headers(
             self._incoming.headers,
             account,
             choice.head.host,
@@ -323,7 +323,7 @@
                 return f"no progress in {now - run.last_progress_at:.3f} s"
 
     def _can_retry_elsewhere(self, now: float) -> bool:
-        if not self.machine.may_move(now):
+        if not self.machine.may_retry_elsewhere(now):
             return False
         candidates = self.context.candidates(self._service, self._incoming.facts.model)
         tracker = self.context.book
@@ -422,7 +422,7 @@
             return
         reply = self._buffered_reply
         assert reply is not None
-        headers = self.context.codec.to_caller(reply.headers)
+        headers = self.context.codec.caller_reply_headers(reply.headers)
         self._sink.reply(reply.status, headers, reply.body)
         self._log_outcome("answered", reply.status < 500, reply.status)
 
@@ -466,7 +466,7 @@
                 else round((first_event_at - self._incoming.arrived) * 1000)
             ),
             "pause_ms": round(self._longest_pause * 1000),
-            "goal_ms": round(self._accepted.route.goal * 1000),
+            "goal_ms": round(self._accepted.route.latency_goal * 1000),
             "last_event": self.order.last,
             **more,
         }
--- a/src/oleanderhill/serving/forwarding.py
+++ b/src/oleanderhill/serving/forwarding.py
@@ -55,13 +55,13 @@
 
     :param not_run: whether the target states that it did not run the request and will not run it
     :param signed: whether the reply carries the target's signature
-    :param own: whether the reply comes from the target instance that the request was sent to, not
-        from another one at the same address
+    :param from_expected_target: whether the reply comes from the target instance that the request
+        was sent to, not from another one at the same address
     """
 
     not_run: bool
     signed: bool
-    own: bool = True
+    from_expected_target: bool = True
     notice: Notice = Notice()
 
 
@@ -71,7 +71,7 @@
     def read_request(self, headers: HTTPHeaders) -> RequestInfo:
         """Decode the headers of a request."""
 
-    def to_target(
+    def target_request_headers(
         self,
         headers: HTTPHeaders,
         account: str | None,
@@ -88,7 +88,7 @@
     def is_reply_to(self, request_id: str, headers: HTTPHeaders) -> bool:
         """Return whether a reply with these headers answers the request."""
 
-    def to_caller(self, headers: HTTPHeaders) -> HTTPHeaders:
+    def caller_reply_headers(self, headers: HTTPHeaders) -> HTTPHeaders:
         """Return the headers of a target's reply as they are sent to the caller."""
 
     def problem_headers(self, request_id: str, retry_after: float | None) -> Mapping[str, str]:
--- a/src/oleanderhill/serving/front.py
+++ b/src/oleanderhill/serving/front.py
@@ -331,7 +331,7 @@
         try:
             await self.callbacks.serve(incoming, host, path, sink)
         except Exception as error:  # an internal error must not leave the caller without a response
-            self.failed(error)
+            self.log_failure(error)
             detail = f"{type(error).__name__}: {error}"
             self._records.request(incoming.facts.request_id, "internal", False, reason=detail)
             if sink.started:
--- a/src/oleanderhill/serving/prediction.py
+++ b/src/oleanderhill/serving/prediction.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ..settings.catalog import EngineShape, EngineTimes, ModelShape
+from ..settings.catalog import EngineProfile, EngineTiming, ModelProfile
 
 ROUND_TRIP = 0.01
 """Seconds of a goal that the round trip to the caller takes: a few milliseconds each way."""
@@ -26,7 +26,7 @@
     slot_interval: float
 
 
-def predict(shape: EngineShape, model: ModelShape) -> Prediction | None:
+def predict(shape: EngineProfile, model: ModelProfile) -> Prediction | None:
     """Return the predicted timing of a full group, ``None`` without configured engine times.
 
     A request waits on average for half of the current pass, then for a pass that includes reading
@@ -38,10 +38,10 @@
     if times is None:
         return None
     step = _step_seconds(times, shape.batch)
-    read = times.usual_prompt * times.read
+    read = times.mean_prompt_tokens * times.prefill_per_token
     first = (1.5 * step * times.steps + read) * model.pace
     # While a request generates, the prompt of each other request of the batch is read once.
-    total = (times.usual_answer * step + shape.batch * read) * model.pace
+    total = (times.mean_answer_tokens * step + shape.batch * read) * model.pace
     return Prediction(first, total / max(1, shape.batch))
 
 
@@ -54,6 +54,6 @@
     return min(MAX_QUEUE_FRACTION * slots, max(0.0, spare / prediction.slot_interval))
 
 
-def _step_seconds(times: EngineTimes, batch: int) -> float:
-    context = times.usual_prompt + times.usual_answer / 2
-    return times.step + batch * (times.step_per_writer + times.step_per_context * context)
+def _step_seconds(times: EngineTiming, batch: int) -> float:
+    context = times.mean_prompt_tokens + times.mean_answer_tokens / 2
+    return times.step + batch * (times.step_per_request + times.step_per_context * context)
--- a/src/oleanderhill/serving/quarantine.py
+++ b/src/oleanderhill/serving/quarantine.py
@@ -16,7 +16,7 @@
 
 from ..clients.listening import CHECK_DELAYS, ListenStatus
 from ..clients.storage import NEVER, Item, Lease, Revision, Storage, StoreConflictError, Write
-from ..clock import awake_or_not
+from ..clock import boottime_seconds
 from ..groups.inventory import Inventory
 from ..groups.ownership import Presence, rank_by_strength
 from ..kernel import Kernel, Task
@@ -118,7 +118,7 @@
 
     async def tick(self) -> None:
         """Drop expired crashes, and the records of requests that were cleared."""
-        self._crashes.forget(awake_or_not())
+        self._crashes.forget(boottime_seconds())
         for identity in [i for i in self._lease_by_identity if not self._needs_record(i)]:
             await self._storage.end(self._lease_by_identity.pop(identity))
 
@@ -126,7 +126,7 @@
 
     def rejection_for(self, identity: str, ran: Ran) -> Problem | None:
         """Return why a request must not be sent, ``None`` if it may be."""
-        return self._crashes.problem(identity, awake_or_not(), ran)
+        return self._crashes.problem(identity, boottime_seconds(), ran)
 
     def may_send(self, identity: str) -> bool:
         """Return whether a request may be sent now."""
@@ -159,7 +159,7 @@
             # A leaving target closes connections as planned, so a loss is no evidence of a crash.
             return
         incarnation = at.boot_id
-        new = self._crashes.lost(identity, incarnation, ran_for, awake_or_not())
+        new = self._crashes.lost(identity, incarnation, ran_for, boottime_seconds())
         self._records.request(
             request_id,
             "suspect",
@@ -176,7 +176,7 @@
 
     def answered(self, identity: str, request_id: str) -> None:
         """Record that a request got a complete answer."""
-        cleared, quarantined = self._crashes.answered(identity, awake_or_not())
+        cleared, quarantined = self._crashes.answered(identity, boottime_seconds())
         if cleared:
             self._records.request(request_id, "cleared", False, same_as=identity)
             self._handle_quarantined(quarantined, f"{identity} was cleared", 0.0)
@@ -186,26 +186,30 @@
 
         :param asked: whether it answered a check that was made after its connections were lost
         """
-        if self._crashes.record_sign_of_life(incarnation, awake_or_not(), asked):
+        if self._crashes.record_sign_of_life(incarnation, boottime_seconds(), asked):
             self._records.note("quarantine", "incarnation still running", instance=incarnation)
 
     def incarnation_ended(self, incarnation: str, reason: str) -> None:
         """Record that an incarnation is known to have ended."""
         self._handle_quarantined(
-            self._crashes.confirm_ended(incarnation, awake_or_not()), f"{incarnation} {reason}", 0.0
+            self._crashes.confirm_ended(incarnation, boottime_seconds()),
+            f"{incarnation} {reason}",
+            0.0,
         )
 
     # Interface for peers
 
     def pending_updates(self, again: bool) -> list[EndingNews]:
         """Return the updates to send to peers."""
-        return self._crashes.pending_updates(self._me.name, awake_or_not(), again)
+        return self._crashes.pending_updates(self._me.name, boottime_seconds(), again)
 
     def apply_peer_update(self, update: EndingNews) -> None:
         """Apply an update from a peer."""
         oldest = max((c.age for c in update.quarantined.values()), default=0.0)
         self._handle_quarantined(
-            self._crashes.apply_peer_update(update, awake_or_not()), f"peer {update.sender}", oldest
+            self._crashes.apply_peer_update(update, boottime_seconds()),
+            f"peer {update.sender}",
+            oldest,
         )
 
     # Interface for the store
@@ -244,16 +248,16 @@
         reason = f"store, by {record.host}"
         if not record.quarantined:
             self._records.note("quarantine", "suspected", same_as=identity, reason=reason)
-            found = self._crashes.restore_crashes(record.endings, awake_or_not())
+            found = self._crashes.restore_crashes(record.endings, boottime_seconds())
             self._handle_quarantined(found, reason, 0.0)
-        elif self._crashes.quarantine(identity, tuple(record.endings), awake_or_not()):
+        elif self._crashes.quarantine(identity, tuple(record.endings), boottime_seconds()):
             self._handle_quarantined([identity], reason, 0.0)
         return True
 
     def _release(self, identity: str) -> bool:
         if self._stored.pop(identity, None) is None:
             return False
-        self._crashes.release(identity, awake_or_not())
+        self._crashes.release(identity, boottime_seconds())
         self._records.note("quarantine", "released for one attempt", same_as=identity)
         return True
 
--- a/src/oleanderhill/serving/retries.py
+++ b/src/oleanderhill/serving/retries.py
@@ -68,7 +68,7 @@
         self._retries: deque[float] = deque()
         self._peer_counts: dict[str, tuple[float, RetryCount]] = {}
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a new request."""
         self._requests.append(now)
 
--- a/src/oleanderhill/serving/stall_timeout.py
+++ b/src/oleanderhill/serving/stall_timeout.py
@@ -29,5 +29,5 @@
     if route.repeatable != Repeatable.STREAM:
         return route.timeout * PLAIN_TIMEOUT_FRACTION
     if begun:
-        return max(MIN_STALL_TIMEOUT, route.pause_goal - RESUME_SECONDS)
-    return max(MIN_STALL_TIMEOUT, route.goal * FIRST_EVENT_FRACTION)
+        return max(MIN_STALL_TIMEOUT, route.event_gap_goal - RESUME_SECONDS)
+    return max(MIN_STALL_TIMEOUT, route.latency_goal * FIRST_EVENT_FRACTION)
--- a/src/oleanderhill/settings/catalog.py
+++ b/src/oleanderhill/settings/catalog.py
@@ -31,8 +31,8 @@
     """A host and path prefix, with the services and the limits for the requests that match.
 
     :param timeout: seconds within which a request must be answered completely
-    :param goal: latency goal in seconds for the answer, or for the first event of a stream
-    :param pause_goal: goal in seconds for the longest gap between two events of a stream, 0 for
+    :param latency_goal: latency goal in seconds for the answer, or for the first event of a stream
+    :param event_gap_goal: goal in seconds for the longest gap between two events of a stream, 0 for
         none
     :param priority: 0 is the most urgent
     :param public: whether requests need no API key
@@ -45,24 +45,24 @@
     prefix: str
     repeatable: Repeatable
     timeout: float
-    goal: float
+    latency_goal: float
     max_attempts: int
     priority: int
     public: bool
     backends: tuple[Backend, ...]
     resumable: bool = False
-    pause_goal: float = 0.0
+    event_gap_goal: float = 0.0
     generates: bool = False
 
     @property
-    def may_run_again(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a request with an unknown outcome may be sent again."""
         if self.repeatable == Repeatable.STREAM:
             return self.resumable
         return self.repeatable == Repeatable.IDEMPOTENT
 
 
-class ModelShape(NamedTuple):
+class ModelProfile(NamedTuple):
     """The size, load and timing of a model in an engine service.
 
     :param hosts: hosts in one group
@@ -80,28 +80,28 @@
     staged_seconds: float
 
 
-class EngineTimes(NamedTuple):
+class EngineTiming(NamedTuple):
     """Timing of an engine's group in seconds, before the factor ``pace`` of its model.
 
     :param step: base time of a decoding step
-    :param step_per_writer: added to a step for each request that is generating
+    :param step_per_request: added to a step for each request that is generating
     :param step_per_context: added to a step for each context token of such a request
     :param steps: steps in a pass; each generating request emits one event per pass
-    :param read: prefill time per token of a prompt
-    :param usual_prompt: mean number of prompt tokens
-    :param usual_answer: mean number of generated tokens
+    :param prefill_per_token: prefill time per token of a prompt
+    :param mean_prompt_tokens: mean number of prompt tokens
+    :param mean_answer_tokens: mean number of generated tokens
     """
 
     step: float
-    step_per_writer: float
+    step_per_request: float
     step_per_context: float
     steps: int
-    read: float
-    usual_prompt: float
-    usual_answer: float
+    prefill_per_token: float
+    mean_prompt_tokens: float
+    mean_answer_tokens: float
 
 
-class EngineShape(NamedTuple):
+class EngineProfile(NamedTuple):
     """The configured capacity and timing of a service's engines.
 
     :param batch: requests that a group runs concurrently
@@ -113,8 +113,8 @@
     batch: int
     loads_per_second: float
     loads_at_once: int
-    model_by_name: Mapping[str, ModelShape]
-    times: EngineTimes | None = None
+    model_by_name: Mapping[str, ModelProfile]
+    times: EngineTiming | None = None
 
 
 class Service(NamedTuple):
@@ -122,7 +122,7 @@
 
     name: str
     max_connections: int
-    engine: EngineShape | None = None
+    engine: EngineProfile | None = None
 
 
 class Account(NamedTuple):
@@ -135,7 +135,7 @@
 class Catalog(NamedTuple):
     """One version of the configuration.
 
-    :param keyed: whether requests to routes that are not public need an API key
+    :param requires_key: whether requests to routes that are not public need an API key
     :param max_body: maximum size of a request body in bytes
     """
 
@@ -143,7 +143,7 @@
     routes_by_host: Mapping[str, tuple[Route, ...]]
     service_by_name: Mapping[str, Service]
     account_by_key: Mapping[str, Account]
-    keyed: bool
+    requires_key: bool
     max_body: int
 
     def find_route(self, host: str, path: str) -> Route | None:
@@ -159,7 +159,7 @@
     routes: list[Route],
     services: list[Service],
     account_by_key: Mapping[str, Account],
-    keyed: bool,
+    requires_key: bool,
     max_body: int,
 ) -> Catalog:
     """Return a catalog, with the routes of each host ordered from longest to shortest prefix."""
@@ -170,7 +170,7 @@
         host: tuple(sorted(found, key=lambda r: -len(r.prefix))) for host, found in by_host.items()
     }
     by_name = {s.name: s for s in services}
-    return Catalog(version, ordered, by_name, account_by_key, keyed, max_body)
+    return Catalog(version, ordered, by_name, account_by_key, requires_key, max_body)
 
 
 def pick_backend(route: Route, rng: random.Random) -> str:
--- a/src/oleanderhill/settings/documents.py
+++ b/src/oleanderhill/settings/documents.py
@@ -70,7 +70,7 @@
         self.by_key: dict[str, Document] = {}
         self.learned_at_by_key: dict[str, float] = {}
 
-    def offer(self, document: Document, now: float) -> bool:
+    def store_if_newer(self, document: Document, now: float) -> bool:
         """Store a document if it is newer than the current one; return whether it was stored.
 
         Nothing but this comparison prevents a revert: a store restored from an older backup, or a
@@ -102,7 +102,7 @@
         revisions = {k: d.revision for k, d in self.under(scope).items()} if full else {}
         return Digest(scope, self.fingerprint(scope), revisions)
 
-    def answer(self, digest: Digest) -> list[Digest | Want | Have]:
+    def reply_to_digest(self, digest: Digest) -> list[Digest | Want | Have]:
         """Return the replies to a peer's digest, none if both have the same documents."""
         if digest.fingerprint == self.fingerprint(digest.scope):
             return []
@@ -123,14 +123,14 @@
             replies.append(Have(tuple(newer_here[:MAX_DOCUMENTS_PER_MESSAGE])))
         return replies
 
-    def noticed(self, notice: Notice) -> list[Want]:
+    def reply_to_notice(self, notice: Notice) -> list[Want]:
         """Return the request for the announced documents that are newer than the local ones."""
         outdated = {
             k: self.revision(k) for k, r in notice.revisions.items() if r > self.revision(k)
         }
         return [Want(outdated)] if outdated else []
 
-    def serve(self, want: Want) -> Have:
+    def reply_to_want(self, want: Want) -> Have:
         """Return the requested documents that are newer than the requester's revisions."""
         found = (self.by_key.get(k) for k in want.revisions)
         return Have(tuple(d for d in found if d and d.revision > want.revisions[d.key]))
@@ -141,7 +141,7 @@
     return me in rendezvous(f"watch/{data_centre}", {*live, me}, WATCHERS)
 
 
-def to_write_back(current: Mapping[str, Document], stored: Mapping[str, int]) -> list[Document]:
+def missing_in_store(current: Mapping[str, Document], stored: Mapping[str, int]) -> list[Document]:
     """Return the documents that are missing in the store or have an older revision there.
 
     A store restored from an older backup would otherwise give old settings to every entry host
--- a/src/oleanderhill/settings/fleet.py
+++ b/src/oleanderhill/settings/fleet.py
@@ -1,8 +1,8 @@
 """The settings in the form that entry hosts use: accounts, requested groups and services.
 
-:func:`build` turns the subtrees in force into one immutable :class:`Fleet`. The caller passes only
-valid subtrees: if one in the store is invalid (it was written there directly, without validation),
-the caller keeps the last valid one.
+:func:`build_fleet` turns the subtrees in force into one immutable :class:`Fleet`. The caller passes
+only valid subtrees: if one in the store is invalid (it was written there directly, without
+validation), the caller keeps the last valid one.
 """
 
 from __future__ import annotations
@@ -70,14 +70,14 @@
     domains_without_fencing: frozenset[str] = frozenset()
 
 
-def hash_of(key: str) -> str:
+def hash_key(key: str) -> str:
     """Return the hash that settings store for a bearer key; keys are random, so it has no salt."""
     return "sha256:" + hashlib.sha256(key.encode()).hexdigest()
 
 
 def find_by_key(view_by_key: Mapping[str, _View], key: str) -> _View | None:
     """Return the entry of a bearer key, or ``None``; hashes are compared in constant time."""
-    hashed = hash_of(key)
+    hashed = hash_key(key)
     found = None
     for known, view in view_by_key.items():
         if hmac.compare_digest(known, hashed):
@@ -85,7 +85,7 @@
     return found
 
 
-def build(tree_by_team: Mapping[str, FleetSettings | TeamSettings]) -> Fleet:
+def build_fleet(tree_by_team: Mapping[str, FleetSettings | TeamSettings]) -> Fleet:
     """Return the fleet that valid subtrees describe."""
     shared = cast(FleetSettings, tree_by_team.get(FLEET_TEAM, {}))
     teams = {t: cast(TeamSettings, v) for t, v in tree_by_team.items() if t != FLEET_TEAM}
--- a/src/oleanderhill/settings/relay.py
+++ b/src/oleanderhill/settings/relay.py
@@ -19,21 +19,21 @@
 from ..clients.store import Listing, StoreClient, Stored
 from ..clients.targets import HostList, TargetClient
 from ..decisions import Decisions
-from ..kernel import Kernel, Received, Task
+from ..kernel import Kernel, PeerMessage, Task
 from ..members.task import MembershipTask
 from ..members.wire import SendTo
 from ..types import HostEntry
 from . import writes
-from .documents import Digest, Document, Documents, Have, Notice, Want, is_watcher, to_write_back
-from .fleet import Fleet, build
+from .documents import Digest, Document, Documents, Have, Notice, Want, is_watcher, missing_in_store
+from .fleet import Fleet, build_fleet
 from .messages import FleetChanged, HostsChanged
-from .writes import SETTINGS_PREFIX, Change, Ended, SettingsInForce, SubtreeWrite, WriteState
+from .writes import SETTINGS_PREFIX, Change, SettingsInForce, SubtreeWrite, WriteResult, WriteState
 
 FANOUT = 2
 WRITE_TIMEOUT = 10.0
 RETRY_DELAY = 0.3
 FAILED_READ_DELAY = 1.0
-BUILD_EVERY = 6.0
+MIN_BUILD_INTERVAL = 6.0
 """Minimum seconds between two builds of the fleet; a change must take effect within 18 s."""
 
 FLEET_SUBSCRIBERS = ("stewards", "planner", "router", "limits", "edge")
@@ -86,7 +86,7 @@
         self.loaded = False
         self._build_pending = False
         self._built_at = float("-inf")
-        self.store_ok_at = 0.0
+        self.store_read_at = 0.0
 
     async def start(self) -> None:
         """Start to watch the store and to replicate documents."""
@@ -106,17 +106,17 @@
         scope = "" if row.data_centre == self._data_centre else SETTINGS_PREFIX
         self.kernel.post("peers", SendTo(row.address, self.documents.digest(scope)))
 
-    def offer(self, document: Document, source: str) -> None:
+    def store_if_newer(self, document: Document, source: str) -> None:
         """Store and apply a document if it is newer, and announce it to a few peers."""
         now = time.time()
-        if not self.documents.offer(document, now):
+        if not self.documents.store_if_newer(document, now):
             return
         self._apply(document, source, now)
         notice = Notice({document.key: document.revision})
         for address in self._sample_peers(FANOUT):
             self.kernel.post("peers", SendTo(address, notice))
 
-    async def write_subtree(self, team: str, tree: bytes, by: str, base: int | None) -> Ended:
+    async def write_subtree(self, team: str, tree: bytes, by: str, base: int | None) -> WriteResult:
         """Write a subtree and return the outcome, unknown only while the store is unreachable."""
         key = SETTINGS_PREFIX + team
         change = Change(0, secrets.token_hex(8), by, time.time())
@@ -125,14 +125,14 @@
         effects = write.start()
         while True:
             effect = effects[0]
-            if isinstance(effect, Ended):
+            if isinstance(effect, WriteResult):
                 break
             if time.monotonic() > deadline:
-                effect = write.timeout()
+                effect = write.on_timeout()
                 break
             effects = await self._execute(write, key, effect)
         if effect.state == WriteState.ACCEPTED:
-            self.offer(Document(key, effect.revision, effect.document), "own write")
+            self.store_if_newer(Document(key, effect.revision, effect.document), "own write")
         text = f"write by {by}: {effect.state.value}, revision {effect.revision}"
         self._decisions.note("settings", team, text)
         return effect
@@ -150,35 +150,35 @@
         swapped = await self.store.swap(key, body, stored.modify_index if stored else 0)
         if not is_successful(swapped) or not swapped.unwrap():
             return False
-        self.offer(Document(key, revision, body), "own write")
+        self.store_if_newer(Document(key, revision, body), "own write")
         return True
 
     @singledispatchmethod
-    def receive(self, body: Any, envelope: Received) -> None:
+    def receive(self, body: Any, envelope: PeerMessage) -> None:
         """Handle a peer's message."""
 
     @receive.register
-    def _(self, body: Digest, envelope: Received) -> None:
+    def _(self, body: Digest, envelope: PeerMessage) -> None:
         if body.fingerprint == self.documents.fingerprint(body.scope):
             self._mark_loaded("a peer has the same documents")
-        for reply in self.documents.answer(body):
+        for reply in self.documents.reply_to_digest(body):
             self.kernel.post("peers", SendTo(envelope.address, reply))
 
     @receive.register
-    def _(self, body: Notice, envelope: Received) -> None:
+    def _(self, body: Notice, envelope: PeerMessage) -> None:
         relevant = {k: r for k, r in body.revisions.items() if self._is_relevant(k)}
-        for reply in self.documents.noticed(Notice(relevant)):
+        for reply in self.documents.reply_to_notice(Notice(relevant)):
             self.kernel.post("peers", SendTo(envelope.address, reply))
 
     @receive.register
-    def _(self, body: Want, envelope: Received) -> None:
-        self.kernel.post("peers", SendTo(envelope.address, self.documents.serve(body)))
+    def _(self, body: Want, envelope: PeerMessage) -> None:
+        self.kernel.post("peers", SendTo(envelope.address, self.documents.reply_to_want(body)))
 
     @receive.register
-    def _(self, body: Have, envelope: Received) -> None:
+    def _(self, body: Have, envelope: PeerMessage) -> None:
         for document in body.documents:
             if self._is_relevant(document.key):
-                self.offer(document, envelope.sender)
+                self.store_if_newer(document, envelope.sender)
 
     def _is_relevant(self, key: str) -> bool:
         local_keys = (plan_key(self._data_centre), hosts_key(self._data_centre))
@@ -195,20 +195,20 @@
             self._decisions.note("settings", self._host, f"settings complete: {reason}")
 
     async def _execute(
-        self, write: SubtreeWrite, key: str, effect: writes.Read | writes.Swap
+        self, write: SubtreeWrite, key: str, effect: writes.Read | writes.CompareAndSwap
     ) -> list[writes.WriteEffect]:
         if isinstance(effect, writes.Read):
             found = await self.store.read(key)
             if is_successful(found):
                 stored = found.unwrap() or Stored(b"", 0)
-                return write.read(stored.value, stored.modify_index)
+                return write.on_read(stored.value, stored.modify_index)
             await asyncio.sleep(RETRY_DELAY)
-            return write.failed(False)
+            return write.on_failed(False)
         swapped = await self.store.swap(key, effect.value, effect.modify_index)
         if is_successful(swapped):
-            return write.swapped(swapped.unwrap())
+            return write.on_swapped(swapped.unwrap())
         await asyncio.sleep(RETRY_DELAY)
-        return write.failed(True)
+        return write.on_failed(True)
 
     async def _watch_store(self, prefix: str) -> None:
         index = 0
@@ -230,10 +230,10 @@
         return set(self.kernel.find("membership", MembershipTask).live(self._data_centre))
 
     def _apply_listing(self, prefix: str, listing: Listing, index: int) -> int:
-        self.store_ok_at = time.monotonic()
+        self.store_read_at = time.monotonic()
         for key, stored in listing.by_key.items():
             try:
-                self.offer(_document(key, stored), "store")
+                self.store_if_newer(_document(key, stored), "store")
             except msgspec.DecodeError as error:
                 self._decisions.note("fault", key, f"malformed value in the store: {error}")
         if prefix == SETTINGS_PREFIX:
@@ -244,7 +244,7 @@
     async def _repair_store(self, prefix: str, listing: Listing) -> None:
         """Write documents to the store that are missing or older there than on this host."""
         stored = {k: _revision(v) for k, v in listing.by_key.items()}
-        for document in to_write_back(self.documents.under(prefix), stored):
+        for document in missing_in_store(self.documents.under(prefix), stored):
             found = listing.by_key.get(document.key)
             index = found.modify_index if found else 0
             done = await self.store.swap(document.key, document.body, index)
@@ -273,7 +273,7 @@
             return
         # The platform's index may start over after a restart, but the revision must still increase.
         revision = max(listing.list_index, self.documents.revision(key) + 1)
-        self.offer(Document(key, revision, body), "platform")
+        self.store_if_newer(Document(key, revision, body), "platform")
 
     def _apply(self, document: Document, source: str, now: float) -> None:
         if document.key.startswith(SETTINGS_PREFIX):
@@ -288,7 +288,7 @@
 
     def _apply_settings(self, document: Document, source: str, now: float) -> None:
         team = document.key.removeprefix(SETTINGS_PREFIX)
-        if not self.in_force.take(document, now):
+        if not self.in_force.apply(document, now):
             state = self.in_force.state_by_team[team]
             text = f"revision {document.revision} is invalid, {state.revision} stays in force"
             self._decisions.note("settings", team, text)
@@ -299,16 +299,16 @@
         self._build_if_due()
 
     def _build_if_due(self) -> None:
-        """Build the fleet from all subtrees, at most once per :data:`BUILD_EVERY` seconds.
+        """Build the fleet from all subtrees, at most once per :data:`MIN_BUILD_INTERVAL` seconds.
 
         A build takes 3 us per entry of the subtrees. At 33,000 changes a day in a tree of 10,000
         entries, one build per change would use most of the CPU time allotted to control.
         """
         now = time.monotonic()
-        if not self._build_pending or now - self._built_at < BUILD_EVERY:
+        if not self._build_pending or now - self._built_at < MIN_BUILD_INTERVAL:
             return
         self._build_pending, self._built_at = False, now
-        self.fleet = build(self.in_force.tree_by_team)
+        self.fleet = build_fleet(self.in_force.tree_by_team)
         for name in FLEET_SUBSCRIBERS:
             self.kernel.post(name, FleetChanged(self.fleet))
 
--- a/src/oleanderhill/settings/writes.py
+++ b/src/oleanderhill/settings/writes.py
@@ -47,7 +47,7 @@
     """Effect: read the subtree from the store."""
 
 
-class Swap(NamedTuple):
+class CompareAndSwap(NamedTuple):
     """Effect: write the envelope if the key still has ``modify_index`` (compare-and-swap)."""
 
     value: bytes
@@ -63,7 +63,7 @@
     STORE_DOWN = "store down"
 
 
-class Ended(NamedTuple):
+class WriteResult(NamedTuple):
     """Effect: the write is complete.
 
     :param revision: the new revision if accepted, otherwise the one found in the store
@@ -75,7 +75,7 @@
     document: bytes = b""
 
 
-WriteEffect = Read | Swap | Ended
+WriteEffect = Read | CompareAndSwap | WriteResult
 
 
 class SubtreeWrite:
@@ -102,32 +102,32 @@
         """Return the first effect."""
         return [Read()]
 
-    def read(self, value: bytes, index: int) -> list[WriteEffect]:
+    def on_read(self, value: bytes, index: int) -> list[WriteEffect]:
         """Process the stored envelope, empty if there is none, and return the next effects."""
         found = decode_subtree(value) if value else Subtree(0, msgspec.Raw(b"{}"), ())
         own_changes = [c for c in found.history if c.write_id == self._change.write_id]
         if own_changes:
-            return [Ended(WriteState.ACCEPTED, own_changes[0].revision, value)]
+            return [WriteResult(WriteState.ACCEPTED, own_changes[0].revision, value)]
         if self._maybe_applied:
             if index == self._swap_index:
                 # The write with the lost answer is not applied yet and may still be in transit.
                 # Repeating it at the same index resolves this: at most one of the two is
                 # applied, and the other fails because the index has changed.
-                return [Swap(self._value, index)]
+                return [CompareAndSwap(self._value, index)]
             # The index has changed and the id is not in the history: the write can't be applied
             # any more.
-            return [Ended(WriteState.REFUSED, found.revision)]
+            return [WriteResult(WriteState.REFUSED, found.revision)]
         return self._make_swap(found, index)
 
-    def swapped(self, done: bool) -> list[WriteEffect]:
+    def on_swapped(self, done: bool) -> list[WriteEffect]:
         """Process the store's answer to a swap and return the next effects."""
         if done:
-            return [Ended(WriteState.ACCEPTED, self._revision, self._value)]
+            return [WriteResult(WriteState.ACCEPTED, self._revision, self._value)]
         if self._maybe_applied:
             return [Read()]
-        return [Ended(WriteState.REFUSED, self._revision)]
+        return [WriteResult(WriteState.REFUSED, self._revision)]
 
-    def failed(self, was_swap: bool) -> list[WriteEffect]:
+    def on_failed(self, was_swap: bool) -> list[WriteEffect]:
         """Process a failed store call; the caller waits before it executes the next effect.
 
         :param was_swap: whether the call was a swap, which the store may have applied
@@ -135,26 +135,26 @@
         if was_swap:
             self._maybe_applied = True
         if not self._maybe_applied:
-            return [Ended(WriteState.STORE_DOWN, 0)]
+            return [WriteResult(WriteState.STORE_DOWN, 0)]
         return [Read()]
 
-    def timeout(self) -> Ended:
+    def on_timeout(self) -> WriteResult:
         """Return the outcome to report if the write is abandoned now."""
         state = WriteState.UNKNOWN if self._maybe_applied else WriteState.STORE_DOWN
-        return Ended(state, 0)
+        return WriteResult(state, 0)
 
     def _make_swap(self, found: Subtree, index: int) -> list[WriteEffect]:
         # The store may have been restored from an older backup. Entry hosts ignore revisions that
         # are not higher than the one they have in force, so the new one must exceed both.
         current = max(found.revision, self._highest_known())
         if self._base is not None and self._base != current:
-            return [Ended(WriteState.REFUSED, current)]
+            return [WriteResult(WriteState.REFUSED, current)]
         self._revision = current + 1
         change = self._change._replace(revision=self._revision)
         history = (change, *found.history)[:MAX_HISTORY]
         self._value = encode_subtree(Subtree(self._revision, self._tree, history))
         self._swap_index = index
-        return [Swap(self._value, index)]
+        return [CompareAndSwap(self._value, index)]
 
 
 def encode_subtree(subtree: Subtree) -> bytes:
@@ -194,13 +194,13 @@
 class SubtreeState(NamedTuple):
     """The revision of one subtree in force on an entry host, and the latest one received.
 
-    :param seen: highest revision received; higher than ``revision`` if it is invalid
+    :param latest_revision: highest revision received; higher than ``revision`` if it is invalid
     :param findings: why the highest revision is not in force
     """
 
     revision: int
-    seen: int
-    learned_at: float
+    latest_revision: int
+    applied_at: float
     findings: tuple[str, ...] = ()
 
 
@@ -211,7 +211,7 @@
         self.tree_by_team: dict[str, FleetSettings | TeamSettings] = {}
         self.state_by_team: dict[str, SubtreeState] = {}
 
-    def take(self, document: Document, now: float) -> bool:
+    def apply(self, document: Document, now: float) -> bool:
         """Apply a document that :class:`~.documents.Documents` accepted as newer.
 
         Return whether the tree in force changed. If the new tree is invalid, the last valid one
@@ -224,7 +224,9 @@
         except (SettingsInvalidError, msgspec.DecodeError) as error:
             text = error.show() if isinstance(error, SettingsInvalidError) else str(error)
             findings = tuple(text.splitlines())
-            self.state_by_team[team] = previous._replace(seen=document.revision, findings=findings)
+            self.state_by_team[team] = previous._replace(
+                latest_revision=document.revision, findings=findings
+            )
             return False
         self.tree_by_team[team] = tree
         self.state_by_team[team] = SubtreeState(document.revision, document.revision, now)
--- a/src/oleanderhill/types.py
+++ b/src/oleanderhill/types.py
@@ -65,7 +65,7 @@
     capacity: int
 
 
-class SeenReport(NamedTuple):
+class TimedReport(NamedTuple):
     """A report with the local time at which its probe was *sent*.
 
     The send time is the conservative choice: the reported state is at least as recent.
@@ -117,7 +117,7 @@
     It is changed by compare-and-swap, so a race can't assign a host to two groups.
 
     :param owner: entry host that may send orders for the domain
-    :param owner_life: incarnation of the owner, since a restarted entry host owns nothing
+    :param owner_incarnation: incarnation of the owner, since a restarted entry host owns nothing
     :param owner_epoch: incremented at each take-over; first half of the fencing number
     :param write_id: id of the take-over write, to find out whether a write with a lost response
         was applied
@@ -126,7 +126,7 @@
 
     domain: str
     owner: str = ""
-    owner_life: str = ""
+    owner_incarnation: str = ""
     owner_epoch: int = 0
     write_id: str = ""
     groups: dict[str, GroupRecord] = {}
@@ -144,10 +144,11 @@
 class GroupView(NamedTuple):
     """The state of one group that the owner of its domain sends to entry hosts.
 
-    :param whole: every member reported, within the maximum evidence age, that it belongs to this
+    :param complete: every member reported, within the maximum evidence age, that it belongs to this
         epoch
     :param accepting: the group is complete, and no member is leaving or draining
-    :param age_ms: age of the oldest member report that ``whole`` relies on, at the time of sending
+    :param age_ms: age of the oldest member report that ``complete`` relies on, at the time of
+        sending
     :param running: requests being processed
     :param waiting: requests queued
     :param capacity: maximum requests that the group batches
@@ -157,7 +158,7 @@
     epoch: int
     spec: GroupSpec
     members: tuple[Member, ...]
-    whole: bool
+    complete: bool
     accepting: bool
     age_ms: int
     running: int
--- a/src/oleanderhill/vitals.py
+++ b/src/oleanderhill/vitals.py
@@ -42,6 +42,6 @@
             "vitals",
             "counts",
             cpu_s=round(processor_seconds(), 3),
-            held_up_s=round(self.kernel.lag.take(), 3),
+            held_up_s=round(self.kernel.lag.pop_longest(), 3),
             **self._read_counters(),
         )
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -24,7 +24,7 @@
 
 
 class RequestMachineTest(unittest.TestCase):
-    def test_lost_after_sending_is_unknown_and_ends_at_once_when_not_idempotent(self):
+    def test_lost_after_sending_is_unknown_and_not_retried_when_not_idempotent(self):
         # Guards against a payment that runs twice: bytes were sent and the connection broke, so the
         # target may have paid. The caller is told "unknown" immediately, without a retry.
         m = make_machine(idempotent=False)
@@ -41,7 +41,7 @@
         effects = m.handle(attempts.ConnectFailed(1, "refused"), 0.0)
         self.assertEqual(effects, [attempts.Select(frozenset({"g1@1"}))])
 
-    def test_refused_before_start_then_no_target_is_told_as_not_run(self):
+    def test_refused_before_start_without_another_target_is_reported_as_not_run(self):
         m = make_machine(idempotent=False)
         start_sending(m)
         m.handle(attempts.NotStarted(1, "wrong group"), 0.0)
@@ -63,8 +63,8 @@
     def test_stream_resumes_at_the_offset_that_the_caller_has(self):
         m = make_machine(stream=True)
         start_sending(m)
-        m.handle(attempts.Piece(1, 3), 0.0)
-        m.handle(attempts.Piece(1, 2), 0.0)
+        m.handle(attempts.EventsReceived(1, 3), 0.0)
+        m.handle(attempts.EventsReceived(1, 2), 0.0)
         m.handle(attempts.Lost(1, "stalled"), 0.0)
         effects = m.handle(attempts.Chosen(make_choice("g2")), 0.0)
         self.assertEqual(effects, [attempts.Dispatch(2, make_choice("g2"), 5)])
@@ -92,9 +92,9 @@
         start_sending(late)
         self.assertEqual(late.handle(attempts.DeadlineHit(), 9.0)[-1].problem.ran, Ran.UNKNOWN)
 
-    def test_retries_stay_within_their_part_of_the_requests(self):
+    def test_retries_stay_within_their_fraction_of_the_requests(self):
         budget = RetryBudget(ratio=0.2, floor=0.0)
         for _ in range(1000):
-            budget.request()
+            budget.record_request()
         taken = sum(budget.take(0.0) for _ in range(1000))
-        self.assertLessEqual(taken, RetryBudget.CAP)
+        self.assertLessEqual(taken, RetryBudget.MAX_TOKENS)
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -10,7 +10,7 @@
 
 from oleanderhill.groups.actions import Leave, OrderOutcome
 from oleanderhill.groups.inventory import Instance, TargetHost
-from oleanderhill.platform.headers import UNREADABLE_BACKOFF, HeaderCodec
+from oleanderhill.platform.headers import DEFAULT_BACKOFF_SECONDS, HeaderCodec
 from oleanderhill.routing.backoffs import Backoffs
 from oleanderhill.serving import retry_delay
 from oleanderhill.serving.placement import Candidate, LoadTracker
@@ -24,10 +24,10 @@
 """Seconds after the answer in which requests that were sent earlier may still arrive."""
 
 
-def requests_during_backoff(demand):
+def requests_during_backoff(notices):
     """Return how many requests arrived during the back-off that the first answer requested."""
-    first = demand.arrivals[0]
-    return sum(first + IN_FLIGHT < at < first + BACKOFF for at in demand.arrivals)
+    first = notices.arrivals[0]
+    return sum(first + IN_FLIGHT < at < first + BACKOFF for at in notices.arrivals)
 
 
 class BackoffTest(SiteTest):
@@ -40,16 +40,16 @@
 
     async def test_head_backed_off_from_gets_nothing_while_its_streams_go_on(self):
         heads, model = await self.heads()
-        self.site.engines.pieces = 200
+        self.site.engines.events_per_stream = 200
         streams = [asyncio.create_task(self.ask("/read/x", "POST", model=model)) for _ in range(4)]
-        await until(lambda: all(h.demand.arrivals for h in heads))
-        self.site.engines.pieces = 10
-        demand = heads[0].demand
-        demand.arrivals.clear()
-        demand.backoff = str(BACKOFF)
-        await self.first_told(demand, "/read/x", "POST", model)
-        answers = await self.press(12, BACKOFF, "/read/x", "POST", model)
-        self.assertEqual(requests_during_backoff(demand), 0)
+        await until(lambda: all(h.notices.arrivals for h in heads))
+        self.site.engines.events_per_stream = 10
+        notices = heads[0].notices
+        notices.arrivals.clear()
+        notices.backoff = str(BACKOFF)
+        await self.wait_for_first_notice(notices, "/read/x", "POST", model)
+        answers = await self.send_at_rate(12, BACKOFF, "/read/x", "POST", model)
+        self.assertEqual(requests_during_backoff(notices), 0)
         self.assertEqual({reply.status for reply, _ in answers}, {200})
         await asyncio.gather(*streams)
 
@@ -57,40 +57,40 @@
         # The requests are not run; the answers name a retry delay that does not end before the
         # first back-off.
         for target in self.site.targets:
-            target.demand.backoff = str(BACKOFF)
+            target.notices.backoff = str(BACKOFF)
         await until_all_rejected(self)
-        answers = await self.press(20, BACKOFF - 1.0, "/scan/x")
+        answers = await self.send_at_rate(20, BACKOFF - 1.0, "/scan/x")
         for target in self.site.targets:
-            self.assertEqual(requests_during_backoff(target.demand), 0)
+            self.assertEqual(requests_during_backoff(target.notices), 0)
         for reply, took in answers:
             self.assertEqual(reply.status, 503)
             self.assertLess(took, 0.3)
             self.assertGreater(float(reply.headers["Retry-After"]), 0.5)
 
     async def test_target_is_used_again_when_its_time_is_over(self):
-        demand = self.site.targets[0].demand
-        demand.backoff = "1.5"
-        rejected_at = await self.first_told(demand, "/scan/x")
-        demand.backoff = ""
-        await self.press(12, 3.0, "/scan/x")
-        next_at = min(at for at in demand.arrivals if at > rejected_at)
+        notices = self.site.targets[0].notices
+        notices.backoff = "1.5"
+        rejected_at = await self.wait_for_first_notice(notices, "/scan/x")
+        notices.backoff = ""
+        await self.send_at_rate(12, 3.0, "/scan/x")
+        next_at = min(at for at in notices.arrivals if at > rejected_at)
         self.assertAlmostEqual(next_at - rejected_at, 1.5, delta=0.4)
 
     async def test_backoff_puts_nobody_in_doubt_and_has_nobody_probed(self):
         heads, model = await self.heads()
-        probes = self.entry._orders.asked
-        heads[0].demand.backoff = str(BACKOFF)
-        await self.first_told(heads[0].demand, "/read/x", "POST", model)
+        probes = self.entry._orders.probes_sent
+        heads[0].notices.backoff = str(BACKOFF)
+        await self.wait_for_first_notice(heads[0].notices, "/read/x", "POST", model)
         now = time.monotonic()
         candidates = self.entry.candidates("pool", model)
         self.assertFalse(any(self.entry._book.is_suspect(c.target, now) for c in candidates))
         await asyncio.sleep(0.5)
-        self.assertEqual(self.entry._orders.asked, probes)
+        self.assertEqual(self.entry._orders.probes_sent, probes)
 
     async def test_neither_orders_nor_probes_go_to_a_host_backed_off_from(self):
         heads, model = await self.heads()
-        heads[0].demand.backoff = str(BACKOFF)
-        await self.first_told(heads[0].demand, "/read/x", "POST", model)
+        heads[0].notices.backoff = str(BACKOFF)
+        await self.wait_for_first_notice(heads[0].notices, "/read/x", "POST", model)
         orders_before = len(heads[0].orders)
         instance = Instance(heads[0].instance, heads[0].born)
         order = Leave(heads[0].group["name"], heads[0].group["epoch"], instance)
@@ -114,14 +114,14 @@
         reply, _ = await self.reply("/scan/x")
         self.assertEqual(reply.status, 200)
         backed_off_target = next(t for t in self.site.targets if first[0].startswith(t.instance))
-        self.assertEqual(backed_off_target.demand.arrivals, [])
+        self.assertEqual(backed_off_target.notices.arrivals, [])
 
 
 async def until_all_rejected(test):
     """Send requests until each plain target has rejected one."""
     end = time.monotonic() + 2.0
-    while not all(t.demand.arrivals for t in test.site.targets) and time.monotonic() < end:
-        await test.press(100, 0.1, "/scan/x")
+    while not all(t.notices.arrivals for t in test.site.targets) and time.monotonic() < end:
+        await test.send_at_rate(100, 0.1, "/scan/x")
 
 
 class BackoffsTest(unittest.TestCase):
@@ -196,7 +196,7 @@
         self.assertEqual(read(503, "9" * 30), float("9" * 30))
         self.assertEqual(read(503, later, Date=answered_at), 7.0)
         for text in ("soon", "nan", "inf", "9" * 50, later, ""):
-            self.assertEqual(read(503, text), UNREADABLE_BACKOFF, text)
+            self.assertEqual(read(503, text), DEFAULT_BACKOFF_SECONDS, text)
         self.assertIsNone(read(503))
         self.assertIsNone(read(200, "3"))
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,7 +7,7 @@
 from oleanderhill_dev import capacity
 
 from oleanderhill import ownership
-from oleanderhill.domains import hostwatch, stewards
+from oleanderhill.domains import host_reports, stewards
 from oleanderhill.limits import limiting
 from oleanderhill.settings import relay
 
@@ -22,9 +22,9 @@
 
     def test_counts_of_the_page_are_those_of_the_code(self):
         self.assertEqual(capacity.VIEW_DOMAINS, stewards.VIEW_DOMAINS)
-        self.assertEqual(capacity.FAR_VIEW_DOMAINS, stewards.FAR_VIEW_DOMAINS)
-        self.assertEqual(capacity.PLANNER_EVERY, stewards.PLANNER_EVERY)
+        self.assertEqual(capacity.REMOTE_VIEW_DOMAINS, stewards.REMOTE_VIEW_DOMAINS)
+        self.assertEqual(capacity.PLANNER_UPDATE_INTERVAL, stewards.PLANNER_UPDATE_INTERVAL)
         self.assertEqual(capacity.DEMAND_FANOUT, limiting.DEMAND_FANOUT)
-        self.assertEqual(capacity.PROBES, round(1 / hostwatch.PROBE_EVERY))
-        self.assertEqual(capacity.BUILD_EVERY, relay.BUILD_EVERY)
-        self.assertLess(ownership.ORDER_LIFE, ownership.CONFIRM_WINDOW)
+        self.assertEqual(capacity.PROBES, round(1 / host_reports.PROBE_INTERVAL))
+        self.assertEqual(capacity.MIN_BUILD_INTERVAL, relay.MIN_BUILD_INTERVAL)
+        self.assertLess(ownership.ORDER_SEND_TIMEOUT, ownership.CONFIRM_WINDOW)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 import msgspec
-from oleanderhill_dev.fuzz_endings import broken, play
+from oleanderhill_dev.fuzz_endings import simulate, violations
 from oleanderhill_dev.users.site import SMALL, until
 from returns.pipeline import is_successful
 
@@ -37,7 +37,7 @@
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.site.engines.fatal.add(CRASH_BODY)
+        self.site.engines.crash_causing_bodies.add(CRASH_BODY)
 
     async def generate(self, body, entry=None):
         """Request a stream; return the status and the caller's reader."""
@@ -64,7 +64,9 @@
             if all(e._quarantine.sizes[1] for e in self.site.entries):
                 break
             await asyncio.sleep(0.5)
-        self.assertLessEqual(len(self.site.engines.crashed), CRASHES_TO_QUARANTINE + EXTRA_CRASHES)
+        self.assertLessEqual(
+            len(self.site.engines.crashed_instances), CRASHES_TO_QUARANTINE + EXTRA_CRASHES
+        )
 
     async def test_request_that_ends_each_replica_is_soon_passed_on_to_none(self):
         # A crash-causing request gets 502 after two crashes, and its caller retries at another
@@ -73,7 +75,9 @@
         # streams aborted or are rejected for want of a group: of 45 replicas that crashed within
         # 37 s, 44 did so under 22 such requests, none of which had received an event.
         await self.send_repeatedly(8)
-        self.assertLessEqual(len(self.site.engines.crashed), CRASHES_TO_QUARANTINE + EXTRA_CRASHES)
+        self.assertLessEqual(
+            len(self.site.engines.crashed_instances), CRASHES_TO_QUARANTINE + EXTRA_CRASHES
+        )
 
     async def test_quarantined_request_gets_its_final_answer_at_once(self):
         # The answer comes without queueing, target or Retry-After. Its own problem type says
@@ -95,7 +99,7 @@
     async def test_quarantined_request_stays_so_when_all_entry_hosts_restart_at_once(self):
         # The restarts lose the state in memory; the quarantine remains only in the store.
         await self.until_quarantined()
-        ended = len(self.site.engines.crashed)
+        ended = len(self.site.engines.crashed_instances)
         await until(
             lambda: [k for k in self.site.store.items if k.startswith("oleanderhill/quarantined/")]
         )
@@ -106,13 +110,13 @@
             await self.site.add_entry(f"entry-{number}")
         self.entry = self.site.entries[0]
         await self.send_repeatedly(4)
-        self.assertEqual(len(self.site.engines.crashed), ended)
+        self.assertEqual(len(self.site.engines.crashed_instances), ended)
 
     async def test_request_in_flight_beside_the_culprit_is_served_on_retry(self):
         # Each crash aborts the streams of other requests too, and their callers retry with the
         # same path, client account and body. These requests were in flight at several crashes
         # without causing one, and must not be quarantined.
-        self.site.engines.pieces = 60
+        self.site.engines.events_per_stream = 60
         bodies = [b"beside %d" % n for n in range(6)]
         for number in range(5):
             entry = self.site.entries[number % 2]
@@ -121,7 +125,7 @@
             await asyncio.sleep(0.1)
             await self.generate(CRASH_BODY, entry)
             await asyncio.gather(*beside)
-        self.site.engines.pieces = 10
+        self.site.engines.events_per_stream = 10
         for body in bodies:
             await self.until_served(self.entry)
             status, reader = await self.generate(body)
@@ -130,11 +134,11 @@
     async def test_lost_connections_to_replicas_that_live_on_quarantine_nobody(self):
         # The network repeatedly breaks the streams while the replicas keep running.
         for number in range(8):
-            self.site.engines.tear_after = 4
+            self.site.engines.break_at_event = 4
             await self.generate(b"torn", self.site.entries[number % 2])
         status, reader = await self.generate(b"torn")
         self.assertEqual(status, 200)
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
 
 
 class IdentityTest(unittest.TestCase):
@@ -310,13 +314,13 @@
 
 
 class PlayTest(unittest.TestCase):
-    def test_no_culprit_goes_on_and_no_innocent_is_quarantined(self):
+    def test_crash_causing_requests_and_no_others_are_quarantined(self):
         # Plays with random batches, innocent requests in flight beside the culprit, lost
         # connections, late updates and restarts. Entry hosts that must know of a culprit send it at
         # most three more times, and no request that never crashed a target is rejected for it.
         for seed in range(8):
             with self.subTest(seed=seed):
-                self.assertEqual(broken(play(seed)), [])
+                self.assertEqual(violations(simulate(seed)), [])
 
     def test_nobody_is_quarantined_by_chance_while_most_targets_end_by_themselves(self):
         # Within 1.5 s most targets crash independently, and one request is lost with three or four
@@ -327,7 +331,7 @@
         # random draws of the plays.
         for seed in (42, 85, 107, 158, 201, 203, 320, 374, 426):
             with self.subTest(seed=seed):
-                self.assertEqual(broken(play(seed, rows=True)), [])
+                self.assertEqual(violations(simulate(seed, crash_series=True)), [])
 
 
 class SpreadTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -26,7 +26,7 @@
 from oleanderhill.routing.messages import DomainEvidence, GroupState
 from oleanderhill.settings.checking import load_boot
 from oleanderhill.settings.documents import Document
-from oleanderhill.settings.fleet import hash_of
+from oleanderhill.settings.fleet import hash_key
 from oleanderhill.settings.relay import DocumentsTask
 from oleanderhill.settings.writes import Subtree, encode_subtree, msgspec
 from oleanderhill.types import GroupRecord, Member
@@ -37,7 +37,7 @@
     "listen": {},
     "platform": "127.0.0.1:9",
     "peers": [],
-    "operator_key_hash": hash_of("op"),
+    "operator_key_hash": hash_key("op"),
 }
 
 
@@ -53,13 +53,13 @@
         },
         "accounts": {
             "a": {
-                "key_hashes": [hash_of("key")],
+                "key_hashes": [hash_key("key")],
                 "models": ["m"],
                 "services": ["desk"],
                 "requests_per_second": 1000,
             },
             "slow": {
-                "key_hashes": [hash_of("slow")],
+                "key_hashes": [hash_key("slow")],
                 "models": ["m"],
                 "requests_per_second": 0.5,
             },
@@ -124,7 +124,9 @@
     def apply_settings(self):
         documents = self.kernel.find("documents", DocumentsTask)
         tree = msgspec.Raw(json.dumps(make_settings(self.service)).encode())
-        documents.offer(Document("settings/yard", 1, encode_subtree(Subtree(1, tree, ()))), "test")
+        documents.store_if_newer(
+            Document("settings/yard", 1, encode_subtree(Subtree(1, tree, ()))), "test"
+        )
         documents.loaded = True
         self.edge.fleet = documents.fleet
         self.edge.services.service_by_name = documents.fleet.service_by_name
@@ -163,7 +165,7 @@
         self.assertEqual((problem["ran"], self.reply.headers["X-Request-Ran"]), (ran, ran))
         return problem
 
-    async def test_whole_answer_plain_and_streamed(self):
+    async def test_complete_answer_plain_and_streamed(self):
         status, body = await self.send(body=chat_body(max_tokens=5))
         self.assertEqual(status, 200)
         content = json.loads(body)["choices"][0]["message"]["content"]
@@ -179,7 +181,7 @@
     async def test_oversized_body_is_refused_unread(self):
         await self.assert_problem(413, "too-large", body=b"x" * (MAX_BODY_BYTES + 1))
 
-    async def test_wrong_key_unknown_and_forbidden_models_are_told_apart(self):
+    async def test_wrong_key_unknown_and_forbidden_models_give_different_problems(self):
         await self.assert_problem(401, "unauthenticated", key="wrong")
         await self.assert_problem(404, "unknown-model", body=chat_body(model="none"))
         await self.assert_problem(403, "forbidden", body=chat_body(model="secret"))
@@ -187,7 +189,7 @@
             403, "forbidden", key="slow", method="GET", path="/services/desk/x"
         )
 
-    async def test_account_over_its_rate_is_told_when_to_come_back(self):
+    async def test_account_over_its_rate_limit_gets_retry_after(self):
         await self.send(key="slow")
         problem = await self.assert_problem(429, "over-limit", key="slow")
         self.assertGreater(problem["retry_after"], 0)
@@ -197,13 +199,13 @@
         await self.assert_problem(504, "deadline-passed", X_Request_Timeout="0")
         await self.assert_problem(400, "bad-request", X_Request_Timeout="soon")
 
-    async def test_deadline_during_the_run_is_unknown_and_the_engine_is_told(self):
+    async def test_deadline_during_the_run_is_unknown_and_cancels_at_the_engine(self):
         self.engine.pace = 0.2
         await self.assert_problem(504, "deadline-passed", ran="unknown", X_Request_Timeout="0.5")
         await asyncio.sleep(0.5)
         self.assertEqual(self.engine.running, {})
 
-    async def test_no_whole_group_is_not_run_with_a_time_to_come_back(self):
+    async def test_no_complete_group_is_not_run_with_retry_after(self):
         self.edge.router.router.by_group.clear()
         problem = await self.assert_problem(503, "no-capacity")
         self.assertGreater(problem["retry_after"], 0)
@@ -213,7 +215,7 @@
         with mock.patch.object(dispatch, "GROUP_WAIT_TIMEOUT", 0.3):
             await self.assert_problem(503, "no-capacity")
 
-    async def test_cut_stream_of_the_only_group_ends_with_a_typed_error_and_no_done(self):
+    async def test_broken_stream_of_the_only_group_ends_with_a_typed_error_and_no_done(self):
         # Guards against a truncated stream that looks complete: the engine's connection breaks
         # after three tokens and no other group can resume it. The caller gets an error event and
         # never "[DONE]".
@@ -267,7 +269,7 @@
         )
         self.assertGreater(problem["retry_after"], 0)
 
-    async def test_key_repeated_before_its_end_is_recorded_gets_the_answer_that_was_given(self):
+    async def test_duplicate_before_the_outcome_is_recorded_gets_the_first_answer(self):
         # A caller whose payment was answered with 200 repeats the key at another entry host, before
         # the outcome has reached the store, so the claim still reads as running. Guards against an
         # "in progress" (409) answer for a payment whose answer the caller already has.
@@ -277,7 +279,7 @@
         self.assertEqual((status, body), (200, b'{"paid": 1}'))
         self.assertEqual(self.reply.headers["X-Idempotent-Replay"], "true")
 
-    async def test_key_that_goes_on_running_is_told_so_within_a_second(self):
+    async def test_duplicate_of_a_running_request_is_rejected_within_two_seconds(self):
         self.kernel.register(_ScriptedClaims([Verdict.RUNNING]))
         began = time.monotonic()
         await self.assert_problem(
@@ -290,7 +292,7 @@
         self.assertEqual((status, json.loads(body)["path"]), (200, "scan"))
 
     async def test_draining_host_refuses_new_requests_as_not_run(self):
-        self.edge.draining = self.edge.withdrawn = True
+        self.edge.draining = self.edge.readiness_withdrawn = True
         await self.assert_problem(503, "draining")
         status, _ = await self.send("GET", "/readyz")
         self.assertEqual(status, 503)
@@ -323,11 +325,11 @@
         server.close()
         return result.failure()
 
-    async def test_truncated_reply_is_lost_not_whole(self):
+    async def test_truncated_reply_is_lost_not_complete(self):
         failure = await self.failure_for(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
         self.assertEqual((failure.kind, failure.sent), (httpcall.FailureKind.LOST, True))
 
-    async def test_reply_that_ends_with_its_connection_is_never_whole(self):
+    async def test_reply_that_ends_with_its_connection_is_never_complete(self):
         failure = await self.failure_for(b"HTTP/1.1 200 OK\r\n\r\nmaybe all")
         self.assertTrue(failure.sent)
 
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -23,7 +23,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    def test_cut_stream_leads_to_the_host_that_was_lost(self):
+    def test_interrupted_stream_is_explained_by_the_lost_host(self):
         # A stream is cut, and the line with its request id names the group. Around that time a host
         # of the group did not answer and the group was dissolved. Lines of other groups and times
         # must not appear.
@@ -45,7 +45,7 @@
         self.assertIn("no progress", shown)
         self.assertIn("member silent", shown)
 
-    def test_refusal_for_an_old_proof_leads_to_the_lost_store(self):
+    def test_rejection_for_a_stale_freshness_check_is_explained_by_the_lost_store(self):
         texts = [
             log_line(95.0, "dependency", "lost", dependency="store", reason="timeout"),
             log_line(99.0, "request", "not-current", request_id="r1", proof_age_s=4.4),
@@ -68,7 +68,7 @@
         os.close(self.read_end)
         os.close(self.write_end)
 
-    def test_reader_that_stops_holds_nothing_up_and_loses_are_counted(self):
+    def test_stalled_reader_does_not_block_and_dropped_lines_are_counted(self):
         # The log collector stops reading. Writing must not block and memory must stay bounded: the
         # buffer fills up, further lines are dropped and counted, and the count is logged later.
         output = BoundedOutput(self.write_end)
@@ -89,7 +89,7 @@
         self.assertEqual(json.loads(lines[0])["n"], 0)
         self.assertTrue(any(b'"lines":500' in found for found in lines))
 
-    def test_no_write_ends_within_a_line(self):
+    def test_every_write_ends_at_a_line_break(self):
         # A burst of lines, as after a store outage. A write larger than the pipe's atomic size may
         # be split within a line, and a collector that reads write by write loses the rest.
         output = BoundedOutput(self.write_end)
@@ -104,7 +104,7 @@
         numbers = [json.loads(found)["n"] for found in b"".join(writes).splitlines()]
         self.assertEqual(numbers, list(range(300)))
 
-    def test_good_answers_are_sampled_and_failures_are_not(self):
+    def test_successes_are_sampled_and_failures_are_not(self):
         logged = []
         log = Records("e1")
         log.note = lambda part, what, **fields: logged.append((what, fields))
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -192,28 +192,28 @@
 
     def known(self, sequence, group="g2"):
         self.hosts.replace([self.item(sequence, group=group_entry(group))], 0.0)
-        self.hosts.settle(0.0)
+        self.hosts.finish_read(0.0)
 
     def restore(self, *what, **how):
         self.hosts.restored(10.0)
         self.inventory.extend_grace(12.2)
         self.hosts.replace([self.item(*what, **how)], 10.0)
-        self.hosts.settle(10.0)
+        self.hosts.finish_read(10.0)
 
     def test_group_that_the_backup_does_not_know_stands_until_its_host_writes_again(self):
         self.known(9)
         self.restore(7, group=group_entry("g1"))
         self.assertEqual(self.membership(), "g2")
         self.assertTrue(self.change(10, group=group_entry("g2")))
-        self.hosts.settle(12.3)
+        self.hosts.finish_read(12.3)
         self.assertEqual(self.membership(), "g2")
 
     def test_entry_that_nobody_writes_again_is_believed_in_the_end(self):
         self.known(9)
         self.restore(7, group=group_entry("g1"))
-        self.hosts.settle(12.1)
+        self.hosts.finish_read(12.1)
         self.assertEqual(self.membership(), "g2")
-        self.hosts.settle(12.2)
+        self.hosts.finish_read(12.2)
         self.assertEqual(self.membership(), "g1")
 
     def test_newer_entry_is_taken_at_once(self):
@@ -224,7 +224,7 @@
     def test_host_that_leaves_still_leaves_whatever_the_backup_says(self):
         self.hosts.replace([self.item(9, state="draining")], 0.0)
         self.restore(7)
-        self.hosts.settle(13.0)
+        self.hosts.finish_read(13.0)
         self.change(12)
         self.assertTrue(self.inventory.by_instance[Instance("a", 5)].leaving)
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -7,7 +7,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from oleanderhill_dev.windows import most_within
+from oleanderhill_dev.windows import max_within_window
 
 from oleanderhill.groups import forming
 from oleanderhill.groups.actions import Join, Leave, Open, OrderOutcome, Replan, Stage, Warm
@@ -532,7 +532,7 @@
         # not coordinate all order loads continuously.
         pacers = [LoadPacer(27.75, 5.0, 6) for _ in range(6)]
         began = [n * 0.1 for n in range(600) for pacer in pacers if pacer.take(n * 0.1)]
-        most = most_within(5.0, began)
+        most = max_within_window(5.0, began)
         self.assertLessEqual(most, 27.75)
         self.assertGreater(len(began) / 60, 1.0)
 
@@ -545,7 +545,7 @@
         self.assertEqual(first.max_concurrent, 1)
         pacers = [first, *(LoadPacer(27.75, 5.0, 6, 6) for _ in range(5))]
         began = [n * 0.1 for n in range(300) for pacer in pacers if pacer.take(n * 0.1)]
-        most = most_within(5.0, began)
+        most = max_within_window(5.0, began)
         self.assertLessEqual(most, 27.75)
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -316,9 +316,9 @@
 
         await until(formed_anew, 25.0)
         _, reader = await self.reply("/read/x", "POST", model=LARGE)
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
         (run,) = self.runs(self.request_id)
-        self.assertEqual((run.members_ready, run.never_ready), (3, ()))
+        self.assertEqual((run.joined_members, run.never_ready), (3, ()))
 
     async def test_probe_of_an_ended_life_is_not_answered_by_the_new_one(self):
         # The head still accepts requests for its group, and a host answers at the member's address,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -32,11 +32,11 @@
 
 
 class LayoutTest(unittest.TestCase):
-    def test_packages_do_not_depend_on_each_other_in_a_circle(self) -> None:
+    def test_packages_have_no_cyclic_dependencies(self) -> None:
         order = list(TopologicalSorter(_dependencies()).static_order())
         self.assertIn("clients", order)
 
-    def test_only_the_root_knows_the_platform(self) -> None:
+    def test_only_root_modules_import_the_platform(self) -> None:
         users = [p for p, needs in _dependencies().items() if "platform" in needs]
         self.assertEqual([], users)
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -37,30 +37,30 @@
         found = self.entry.candidates("pool", model)
         return [by_instance[c.host.instance.name] for c in found], model
 
-    def assert_no_later_requests(self, demand, announced_at, answers):
-        late = [at for at in demand.arrivals if at > announced_at + PROPAGATION_SECONDS]
+    def assert_no_later_requests(self, notices, announced_at, answers):
+        late = [at for at in notices.arrivals if at > announced_at + PROPAGATION_SECONDS]
         self.assertEqual(len(late), 0)
         self.assertEqual({reply.status for reply, _ in answers}, {200})
 
     async def test_plain_target_that_leaves_by_its_answers_alone_gets_no_requests(self):
-        demand = self.site.targets[0].demand
-        demand.leaving = True
-        announced_at = await self.first_told(demand, "/scan/x")
-        answers = await self.press(20, 2.5, "/scan/x")
-        self.assert_no_later_requests(demand, announced_at, answers)
+        notices = self.site.targets[0].notices
+        notices.leaving = True
+        announced_at = await self.wait_for_first_notice(notices, "/scan/x")
+        answers = await self.send_at_rate(20, 2.5, "/scan/x")
+        self.assert_no_later_requests(notices, announced_at, answers)
 
     async def test_head_that_leaves_by_its_answers_alone_gets_no_requests(self):
         heads, model = await self.two_groups()
-        heads[0].demand.leaving = True
-        self.site.engines.pieces = 30
-        announced_at = await self.first_told(heads[0].demand, "/read/x", "POST", model)
-        answers = await self.press(5, 2.0, "/read/x", "POST", model)
-        self.assert_no_later_requests(heads[0].demand, announced_at, answers)
+        heads[0].notices.leaving = True
+        self.site.engines.events_per_stream = 30
+        announced_at = await self.wait_for_first_notice(heads[0].notices, "/read/x", "POST", model)
+        answers = await self.send_at_rate(5, 2.0, "/read/x", "POST", model)
+        self.assert_no_later_requests(heads[0].notices, announced_at, answers)
 
     async def test_host_that_never_asked_hears_of_it(self):
-        demand = self.site.targets[0].demand
-        demand.leaving = True
-        await self.first_told(demand, "/scan/x")
+        notices = self.site.targets[0].notices
+        notices.leaving = True
+        await self.wait_for_first_notice(notices, "/scan/x")
         other = self.site.entries[1]
         await asyncio.sleep(PROPAGATION_SECONDS)
         self.assertEqual(len(other.candidates("desk", "")), 1)
@@ -68,7 +68,7 @@
     async def test_member_that_announces_leaving_to_a_probe_stops_its_group(self):
         heads, model = await self.two_groups()
         member = self.site.engines.host_by_instance[heads[0].members[1]]
-        member.demand.leaving = True
+        member.notices.leaving = True
         instance = Instance(member.instance, member.born)
         await self.entry._orders.answers(instance, member.address)
         served = [c.host.instance.name for c in self.entry.candidates("pool", model)]
@@ -88,7 +88,7 @@
         reply, _ = await self.reply("/scan/x")
         self.assertEqual(reply.status, 200)
         target = next(t for t in self.site.targets if t.instance == first[0])
-        self.assertEqual(target.demand.arrivals, [])
+        self.assertEqual(target.notices.arrivals, [])
 
 
 def make_host(name, born=1, leaves=False):
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -15,7 +15,7 @@
     def causes(self, *lines):
         return [(x.cause, x.requests) for x in losses(lines)]
 
-    def test_each_end_has_its_cause(self):
+    def test_each_outcome_has_its_cause(self):
         late = {"goal_ms": 200, "path": ["g:1"]}
         found = self.causes(
             line("answered", stands_for=20, first_ms=80, **late),
@@ -47,7 +47,7 @@
             ],
         )
 
-    def test_table_names_the_worst_moments(self):
+    def test_table_shows_the_worst_time_windows(self):
         lines = [line("answered", first_ms=1, goal_ms=2), *[line("cut", at=15.0)] * 3]
         self.assertIn("4 s (3)", table(losses(lines)))
         self.assertEqual(table([]), "no line of a request")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -40,13 +40,13 @@
         m.receive(9.0, Gossip((Row("b", "b", "dc", 1, 2),)))
         self.assertEqual(m.state("b", 9.0), PeerState.LIVE)
 
-    def test_rumour_of_an_old_heartbeat_proves_nothing(self):
+    def test_older_heartbeat_is_ignored(self):
         m = member("a")
         m.receive(0.0, Gossip((Row("b", "b", "dc", 1, 5),)))
         m.receive(9.0, Gossip((Row("b", "b", "dc", 1, 4),)))
         self.assertEqual(m.state("b", 9.0), PeerState.SUSPECT)
 
-    def test_goodbye_outranks_rumours_of_heartbeats(self):
+    def test_left_row_takes_precedence_over_heartbeats(self):
         # A host leaves; a heartbeat that it sent before is still being gossiped and arrives later.
         m = member("a")
         m.receive(0.0, Gossip((Row("b", "b", "dc", 1, 5, left=True),)))
@@ -59,7 +59,7 @@
         m.receive(1.0, Gossip((Row("b", "b", "dc", 2, 1),)))
         self.assertEqual(m.state("b", 1.0), PeerState.LIVE)
 
-    def test_host_outlives_a_rumour_that_it_left(self):
+    def test_host_refutes_a_row_that_says_it_left(self):
         m = member("b")
         m.receive(0.0, Gossip((m.me._replace(left=True),)))
         self.assertEqual(m.me.incarnation, 2)
@@ -84,7 +84,7 @@
             m.receive(0.0, Gossip((Row(f"x{n}", f"x{n}", f"far-{n % 20}", 1, 1),)))
         self.assertEqual(len(m.by_host), 20 * 9)
 
-    def test_beat_of_an_earlier_life_proves_nothing(self):
+    def test_heartbeat_of_an_earlier_incarnation_is_ignored(self):
         m = member("a")
         m.receive(0.0, Gossip((Row("b", "b", "dc", 7, 1),)))
         m.receive(9.0, Gossip((), (Heartbeat("b", 6, 50),)))
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -24,7 +24,7 @@
     validate,
 )
 from oleanderhill_dev.model.site import Simulation, earned_share
-from oleanderhill_dev.windows import most_within
+from oleanderhill_dev.windows import max_within_window
 
 SCENARIOS = Path(__file__).resolve().parents[1] / "dev/oleanderhill_dev/model/scenarios"
 QUESTIONS = RequestKind("questions", "small", 44.0, 674, 32, 0.2, 0.2, 5.0, 1.8, 0.44)
@@ -36,11 +36,11 @@
 
 
 class ScenarioTest(unittest.TestCase):
-    def test_all_scenarios_make_sense(self):
+    def test_all_scenarios_are_valid(self):
         for file in SCENARIOS.glob("*.json"):
             self.assertTrue(read_scenario(file).kinds)
 
-    def test_what_makes_no_sense_is_said_with_its_place(self):
+    def test_invalid_scenarios_are_reported_with_the_place(self):
         for invalid, message in (
             (
                 short_scenario(kinds=[QUESTIONS.__class__("x", "none", 1, 1, 1, 1, 1, 1, 1, 1)]),
@@ -55,7 +55,7 @@
             read_scenario(Path("no-such-file.json"))
 
 
-class PlayTest(unittest.TestCase):
+class SimulationTest(unittest.TestCase):
     def simulate(self, scenario, policy, seed=1):
         return Simulation(scenario, policy, seed).run()
 
@@ -64,16 +64,16 @@
         self.assertEqual(first, second)
         self.assertNotEqual(first, self.simulate(short_scenario(), Shipped(), 6))
 
-    def test_all_are_on_time_in_peace(self):
+    def test_all_requests_are_on_time_without_faults(self):
         counts = Counter(r.outcome for r in self.simulate(short_scenario(), Shipped()))
         self.assertGreater(counts["on time"] / counts.total(), 0.99)
 
-    def test_each_caller_fares_one_way(self):
+    def test_each_caller_has_a_known_outcome(self):
         results = self.simulate(short_scenario(losses=[GroupLoss(5.0, "small", 4.0)]), Shipped())
         self.assertGreater(len(results), 700)
         self.assertLessEqual({r.outcome for r in results}, {"on time", "late", "refused", "failed"})
 
-    def test_overload_does_not_outlive_its_cause(self):
+    def test_overload_ends_with_its_cause(self):
         # Guards against an overload that lasts after a burst of twice the load for four seconds.
         # With a queue of ten for retries, late requests filled every slot: of the callers one to
         # four seconds after the burst, 36, 13 and 4 in 100 were on time (seeds 1 to 3). With the
@@ -83,7 +83,7 @@
         counts = Counter(r.outcome for r in after)
         self.assertGreater(counts["on time"] / counts.total(), 0.95)
 
-    def test_callers_fare_better_in_a_shortage_where_late_ones_go_last(self):
+    def test_shortage_costs_less_when_late_requests_run_last(self):
         # Groups fail every two seconds under a third more load. In a queue of ten, retries delay
         # new requests that could have been on time. Earned share of the value with seed 1: 0.59
         # with the queue of ten, 0.58 with unbounded queues, 0.80 with the shipped limits.
@@ -95,7 +95,7 @@
         self.assertGreater(earned_share(shipped), earned_share(long_queue) + 0.1)
         self.assertGreater(earned_share(shipped), earned_share(unbounded) + 0.1)
 
-    def test_limits_that_groups_name_are_kept_and_used_and_cost_callers_little(self):
+    def test_stated_rate_limits_are_observed_and_used_at_little_cost(self):
         scenario = read_scenario(SCENARIOS / "limits.json")
         # The last limit period is left out: in the others, groups without a limit have capacity for
         # the rest of the load; in the last one, none has.
@@ -108,14 +108,14 @@
         for limit_period in scenario.needs:
             group, rate = simulation.groups[limit_period.model][0], limit_period.rate
             sent = [at for at in group.arrivals if 8.5 <= at < 24.0]
-            most = most_within(4.0, sent)
+            most = max_within_window(4.0, sent)
             self.assertLessEqual(most, 1.5 * rate * 4.0 + 5)
             self.assertGreaterEqual(len(sent), rate * 15.5 / 2)
         arrivals = ignoring.groups["small"][0].arrivals
         self.assertGreater(sum(10.0 <= at < 14.0 for at in arrivals), 1.5 * 1.2 * 4.0 + 5)
         self.assertGreater(earned_share(results), earned_share(ignored_results) - 0.05)
 
-    def test_groups_that_ask_to_be_let_alone_are_and_serve_again_within_a_second(self):
+    def test_backoffs_are_observed_and_groups_serve_again_within_a_second(self):
         for groups in (2, 5):
             period = BackoffPeriod(5.0, "small", groups, 3.0, 6.0)
             simulation, ignoring = (
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,7 +13,7 @@
     HostReport,
     HostState,
     Member,
-    SeenReport,
+    TimedReport,
     WantedGroup,
 )
 
@@ -40,7 +40,7 @@
         DomainLedger("d", groups={r.group: r for r in records}),
         tuple(WantedGroup(g, SPEC) for g in wanted),
         {h: HostEntry(h, h, "d", "dc", listed.get(h, HostState.LIVE)) for h in hosts},
-        {r.host: SeenReport(r, NOW - ages.get(r.host, 0.1)) for r in reports},
+        {r.host: TimedReport(r, NOW - ages.get(r.host, 0.1)) for r in reports},
         {r.host: NOW - 60.0 for r in reports if r.state == EngineState.EMPTY},
         {r.group: NOW - 10.0 for r in records},
         {},
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -4,9 +4,9 @@
 import unittest
 
 from oleanderhill.decisions import Decisions
-from oleanderhill.domains.planner import DomainState, Plan, make_plan, patience, spare_count
+from oleanderhill.domains.planner import DomainState, Plan, make_plan, relocation_delay, spare_count
 from oleanderhill.domains.planning import PlanningTask
-from oleanderhill.kernel import Kernel, Received
+from oleanderhill.kernel import Kernel, PeerMessage
 from oleanderhill.routing.dispatch import RouterTask
 from oleanderhill.routing.messages import DomainEvidence
 from oleanderhill.settings.fleet import Fleet
@@ -42,7 +42,7 @@
     def test_group_of_a_domain_that_stays_dark_moves_and_does_not_come_back(self):
         plan = make_plan(0.0, EMPTY_PLAN, wanted(1), {"d": DomainState(2)}, 8.0)
         short = {"d": DomainState(0, 100.0), "e": DomainState(4)}
-        moved = make_plan(100.0 + patience(8.0) + 1, plan, wanted(1), short, 8.0)
+        moved = make_plan(100.0 + relocation_delay(8.0) + 1, plan, wanted(1), short, 8.0)
         self.assertEqual(set(moved.domain_by_group.values()), {"e"})
         recovered = {"d": DomainState(2), "e": DomainState(4)}
         self.assertIs(make_plan(500.0, moved, wanted(1), recovered, 8.0), moved)
@@ -66,7 +66,7 @@
             self.assertEqual(rolled.domain_by_group[f"yard/bale@y#{n}"], old)
 
     def test_downtime_that_is_worth_more_shortens_the_wait_and_keeps_spares(self):
-        self.assertLess(patience(80.0), patience(2.0))
+        self.assertLess(relocation_delay(80.0), relocation_delay(2.0))
         self.assertEqual(spare_count(32, 1.0), 0)
         self.assertGreaterEqual(spare_count(32, 2000.0), 1)
 
@@ -85,7 +85,7 @@
         planner.plan = Plan(1, {item.group: "d"})
         planner.handle(FleetChanged(Fleet(wanted_by_data_centre={"hall": (item,)})))
         evidence = DomainEvidence("d", "hall", 1, 1, (), (), 0)
-        router.receive(evidence, Received("e2", "e2", 1, 5.0, 10.0, evidence))
+        router.receive(evidence, PeerMessage("e2", "e2", 1, 5.0, 10.0, evidence))
         planner.dispatch(planner._inbox.get_nowait())
         planner._update_shortages(11.0)
         self.assertEqual(planner._domain_states(11.0)["d"].short_of_hosts_since, 11.0)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -8,20 +8,20 @@
 import unittest
 from pathlib import Path
 
-from oleanderhill_dev.bench_site import Shape, Site
+from oleanderhill_dev.bench_site import Site, SiteConfig
 from oleanderhill_dev.engine_standin import token
 
 from oleanderhill.clients.httpcall import Call, HttpCaller, Observer
-from oleanderhill.settings.fleet import hash_of
+from oleanderhill.settings.fleet import hash_key
 
 KEY = "key"
 PROGRAM = [sys.executable, "-m", "oleanderhill"]
-SHAPE = Shape(
+SITE_CONFIG = SiteConfig(
     ("hall", "hall"),
     {("hall", "fabric-a"): 5},
     prefill=0.05,
     host_prefix="t",
-    net=7,
+    second_octet=7,
 )
 
 
@@ -37,7 +37,7 @@
         },
         "accounts": {
             "a": {
-                "key_hashes": [hash_of(KEY)],
+                "key_hashes": [hash_key(KEY)],
                 "models": ["m"],
                 "services": ["desk"],
                 "requests_per_second": 1000,
@@ -57,26 +57,28 @@
 class ProcessesTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.folder = tempfile.TemporaryDirectory()
-        self.site = Site(SHAPE, Path(self.folder.name), PROGRAM)
+        self.site = Site(SITE_CONFIG, Path(self.folder.name), PROGRAM)
         # Cleanups run even if the set-up fails, unlike a tear-down. Processes left running would
         # keep the addresses, and the next run would talk to them.
         self.addCleanup(self.folder.cleanup)
-        self.addCleanup(self.site.end)
+        self.addCleanup(self.site.stop)
         self.site.start()
         self.caller = HttpCaller()
         await self.until(lambda: self.answers("/v1/in-force"))
         body = json.dumps(settings_tree(self.site.service_addresses[0])).encode()
         address = self.site.entries[0].operators
-        found = await self.site.ask(address, "PUT", "/v1/settings/yard", body)
+        found = await self.site.call_json(address, "PUT", "/v1/settings/yard", body)
         self.assertEqual(found["state"], "accepted")
-        await self.site.until_serving(2, 60)
+        await self.site.wait_until_serving(2, 60)
 
     async def answers(self, path):
-        found = [await self.site.ask(e.operators, "GET", path) for e in self.site.entries]
+        found = [await self.site.call_json(e.operators, "GET", path) for e in self.site.entries]
         return all(f is not None for f in found)
 
     async def owner_names(self):
-        status = [await self.site.ask(e.operators, "GET", "/v1/status") for e in self.site.entries]
+        status = [
+            await self.site.call_json(e.operators, "GET", "/v1/status") for e in self.site.entries
+        ]
         return [s["host"] for s in status if s and s["domains"][0]["owned_here"]]
 
     async def until(self, condition, seconds=60.0):
@@ -108,7 +110,7 @@
         call = Call(entry.callers, "POST", "/services/desk/payments", headers, b"{}", 20.0)
         return (await self.caller.call(call)).value_or(None)
 
-    async def test_faults_of_processes_lose_and_double_nothing(self):
+    async def test_process_faults_lose_or_repeat_no_request(self):
         first, second = self.site.entries
         await self.member_crashes_during_a_stream(first)
         await self.key_runs_once_at_two_entry_hosts_and_through_an_outage(first, second)
@@ -120,11 +122,11 @@
         # stream must resume at the other group from the caller's offset.
         streams = [asyncio.create_task(self.stream(entry, 200)) for _ in range(6)]
         await asyncio.sleep(1.5)
-        status = await self.site.ask(entry.operators, "GET", "/v1/status")
+        status = await self.site.call_json(entry.operators, "GET", "/v1/status")
         self.site.kill(status["groups"][0]["hosts"][1])
         for text in await asyncio.gather(*streams):
             self.assert_complete(text, 200)
-        await self.site.until_serving(2, 60)
+        await self.site.wait_until_serving(2, 60)
 
     async def key_runs_once_at_two_entry_hosts_and_through_an_outage(self, first, second):
         # Both entry hosts receive the same key concurrently, which must run once. During a store
@@ -133,11 +135,11 @@
         self.assertIn(200, [r.status for r in both])
         again = await self.pay(second, "k1")
         self.assertEqual((again.status, again.headers["X-Idempotent-Replay"]), (200, "true"))
-        await self.site.ask(self.site.platform, "POST", "/faults", b'{"down": true}')
+        await self.site.call_json(self.site.platform, "POST", "/faults", b'{"down": true}')
         refused = await self.pay(first, "k2")
         self.assertEqual((refused.status, refused.headers["X-Request-Ran"]), (503, "no"))
         self.assert_complete(await self.stream(first, 20), 20)
-        await self.site.ask(self.site.platform, "POST", "/faults", b'{"down": false}')
+        await self.site.call_json(self.site.platform, "POST", "/faults", b'{"down": false}')
 
         async def runs():
             reply = await self.pay(second, "k2")
@@ -157,7 +159,7 @@
         await asyncio.sleep(9.0)
         self.assert_complete(await self.stream(other, 20), 20)
         self.site.signal(owner, signal.SIGCONT)
-        await self.site.until_serving(2, 60)
+        await self.site.wait_until_serving(2, 60)
 
     async def entry_host_drains_during_a_stream(self, entry):
         # SIGTERM arrives in the middle of a stream of four seconds. The stream must complete before
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 import msgspec
-from oleanderhill_dev.fuzz_limits import broken, play
+from oleanderhill_dev.fuzz_limits import has_violations, simulate
 from oleanderhill_dev.users.site import until
-from oleanderhill_dev.windows import most_within
+from oleanderhill_dev.windows import max_within_window
 from tornado.httputil import HTTPHeaders
 
 from oleanderhill.groups.inventory import Instance, Inventory, TargetHost
@@ -56,43 +56,43 @@
     entries = 3
 
     async def limited_head(self, limit):
-        """Set a limit at the head of one of two groups; return its demand and the model."""
+        """Set a limit at the head of one of two groups; return its notices and the model."""
         model = await self.model_with_two_groups()
         for entry in self.site.entries:
             await until(lambda e=entry: len(e.candidates("pool", model)) > 1)
         head = self.entry.candidates("pool", model)[0].host.instance.name
-        demand = self.site.engines.host_by_instance[head].demand
-        demand.limit = limit
-        return demand, model
+        notices = self.site.engines.host_by_instance[head].notices
+        notices.limit = limit
+        return notices, model
 
-    def assert_within_limit_and_used(self, demand, limit, stated_at, seconds):
-        most = most_within(WINDOW, demand.arrivals, stated_at + UPDATE_SECONDS)
+    def assert_within_limit_and_used(self, notices, limit, stated_at, seconds):
+        most = max_within_window(WINDOW, notices.arrivals, stated_at + UPDATE_SECONDS)
         self.assertLessEqual(most, max_requests(limit))
-        used = sum(stated_at <= at < stated_at + seconds for at in demand.arrivals)
+        used = sum(stated_at <= at < stated_at + seconds for at in notices.arrivals)
         self.assertGreaterEqual(used, limit * seconds / 2)
 
     async def test_head_of_a_group_gets_no_more_than_its_limit_from_all_entry_hosts(self):
-        demand, model = await self.limited_head("1.2")
-        stated_at = await self.first_told(demand, "/read/x", "POST", model)
-        answers = await self.press(12, 7.0, "/read/x", "POST", model)
-        self.assert_within_limit_and_used(demand, 1.2, stated_at, 7.0)
+        notices, model = await self.limited_head("1.2")
+        stated_at = await self.wait_for_first_notice(notices, "/read/x", "POST", model)
+        answers = await self.send_at_rate(12, 7.0, "/read/x", "POST", model)
+        self.assert_within_limit_and_used(notices, 1.2, stated_at, 7.0)
         self.assertEqual({reply.status for reply, _ in answers}, {200})
 
     async def test_plain_target_gets_no_more_than_its_limit_from_all_entry_hosts(self):
-        demand = self.site.targets[0].demand
-        demand.limit = "1"
-        stated_at = await self.first_told(demand, "/scan/x")
-        answers = await self.press(12, 7.0, "/scan/x")
-        self.assert_within_limit_and_used(demand, 1.0, stated_at, 7.0)
+        notices = self.site.targets[0].notices
+        notices.limit = "1"
+        stated_at = await self.wait_for_first_notice(notices, "/scan/x")
+        answers = await self.send_at_rate(12, 7.0, "/scan/x")
+        self.assert_within_limit_and_used(notices, 1.0, stated_at, 7.0)
         self.assertEqual({reply.status for reply, _ in answers}, {200})
 
     async def test_callers_are_refused_at_once_where_all_targets_are_limited(self):
         # The requests are neither queued nor kept until their deadline. They are not run, and the
         # answers name a retry delay.
         for target in self.site.targets:
-            target.demand.limit = "0.5"
-            await self.first_told(target.demand, "/scan/x")
-        answers = await self.press(12, 3.0, "/scan/x")
+            target.notices.limit = "0.5"
+            await self.wait_for_first_notice(target.notices, "/scan/x")
+        answers = await self.send_at_rate(12, 3.0, "/scan/x")
         refused = [(reply, took) for reply, took in answers if reply.status == 503]
         self.assertGreater(len(refused), len(answers) / 2)
         for reply, took in refused:
@@ -100,23 +100,23 @@
             self.assertGreater(float(reply.headers["Retry-After"]), 0.3)
 
     async def test_target_that_names_no_limit_any_more_takes_all_again(self):
-        demand = self.site.targets[0].demand
-        demand.limit = "2"
-        await self.first_told(demand, "/scan/x")
-        await self.press(12, 2.0, "/scan/x")
-        demand.limit = ""
-        await self.press(12, 3.0, "/scan/x")
+        notices = self.site.targets[0].notices
+        notices.limit = "2"
+        await self.wait_for_first_notice(notices, "/scan/x")
+        await self.send_at_rate(12, 2.0, "/scan/x")
+        notices.limit = ""
+        await self.send_at_rate(12, 3.0, "/scan/x")
         for entry in self.site.entries:
             self.assertEqual(entry._book.limits.rate_by_incarnation, {})
-        before = len(demand.arrivals)
-        await self.press(12, 2.0, "/scan/x")
-        self.assertGreater(len(demand.arrivals) - before, 6)
+        before = len(notices.arrivals)
+        await self.send_at_rate(12, 2.0, "/scan/x")
+        self.assertGreater(len(notices.arrivals) - before, 6)
 
     async def test_refusal_that_names_a_limit_puts_nobody_in_doubt(self):
         # A target that sheds load is neither slow nor lost.
         target = self.site.targets[0]
-        target.demand.limit, target.faults.shed = "1", 1
-        answers = await self.press(20, 0.5, "/scan/x")
+        target.notices.limit, target.faults.shed = "1", 1
+        answers = await self.send_at_rate(20, 0.5, "/scan/x")
         self.assertEqual({reply.status for reply, _ in answers}, {200})
         now = time.monotonic()
         candidates = self.entry.candidates("desk", "")
@@ -124,18 +124,18 @@
         self.assertEqual(len(self.entry._book.limits.rate_by_incarnation), 1)
 
     async def test_host_that_starts_anew_learns_of_limits_from_the_others(self):
-        demand = self.site.targets[0].demand
-        demand.limit = "1"
-        await self.first_told(demand, "/scan/x")
+        notices = self.site.targets[0].notices
+        notices.limit = "1"
+        await self.wait_for_first_notice(notices, "/scan/x")
         late = await self.site.add_entry("entry-late")
         await until(lambda: late._book.limits.rate_by_incarnation, 5.0)
-        before = len(demand.arrivals)
-        await self.press(12, 3.0, "/scan/x", entries=[late])
-        self.assertLessEqual(len(demand.arrivals) - before, max_requests(1.0))
+        before = len(notices.arrivals)
+        await self.send_at_rate(12, 3.0, "/scan/x", entries=[late])
+        self.assertLessEqual(len(notices.arrivals) - before, max_requests(1.0))
 
     async def test_new_life_of_a_target_starts_without_a_limit(self):
-        demand, model = await self.limited_head("1")
-        await self.first_told(demand, "/read/x", "POST", model)
+        notices, model = await self.limited_head("1")
+        await self.wait_for_first_notice(notices, "/read/x", "POST", model)
         limits = self.entry._book.limits
         (incarnation,) = limits.rate_by_incarnation
         self.site.engines.host_by_instance[incarnation.partition("@")[0]].restart()
@@ -146,13 +146,13 @@
         _, model = await self.limited_head("")
         group = self.entry.candidates("pool", model)[0]
         member = self.site.engines.host_by_instance[group.members[0].partition("@")[0]]
-        member.demand.limit = "1"
+        member.notices.limit = "1"
         instance = self.entry._inventory.incarnation_of(member.instance)
         for entry in self.site.entries:
             await entry._orders.answers(instance, member.address)
         limits = self.entry._book.limits
         self.assertTrue(limits.is_limited(group.incarnations))
-        member.demand.limit = ""
+        member.notices.limit = ""
         await until(lambda: not limits.is_limited(group.incarnations), 6.0)
 
 
@@ -190,7 +190,7 @@
 
     def test_answer_of_another_instance_says_nothing_of_this_one(self):
         headers = HTTPHeaders({"Server-Limit": "1"})
-        self.assertFalse(HeaderCodec().read_reply(421, headers).own)
+        self.assertFalse(HeaderCodec().read_reply(421, headers).from_expected_target)
 
 
 class TargetLimitsTest(unittest.TestCase):
@@ -228,7 +228,7 @@
                 for limits in all_limits:
                     if limits.take(("t",), tick / 100) is not None:
                         sent.append(tick / 100)
-            self.assertLessEqual(most_within(WINDOW, sent, 0.0), max_requests(rate))
+            self.assertLessEqual(max_within_window(WINDOW, sent, 0.0), max_requests(rate))
             self.assertGreaterEqual(len(sent), 29 * max(rate, MIN_RATE) * 0.8)
 
     def test_all_idle_shares_at_once_stay_within_the_bound(self):
@@ -382,7 +382,7 @@
     def test_fleets_that_come_go_and_hear_late_keep_limits_use_them_and_know_their_end(self):
         for seed in range(12):
             with self.subTest(seed=seed):
-                self.assertFalse(broken(play(seed)))
+                self.assertFalse(has_violations(simulate(seed)))
 
 
 class PlacingTest(unittest.TestCase):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -34,11 +34,11 @@
     ReadResult,
     StoreSource,
 )
-from oleanderhill.clock import awake_or_not
+from oleanderhill.clock import boottime_seconds
 from oleanderhill.exceptions import (
-    NoReadingError,
+    NoStoreCopyError,
     StoreAnswerLostError,
-    StoreCutError,
+    StoreConnectionClosedError,
     StoreUnavailableError,
 )
 from oleanderhill.groups.ownership import (
@@ -168,7 +168,7 @@
 
     async def unchanged(self, expected):
         self.checks += 1
-        self.checked_at = awake_or_not()
+        self.checked_at = boottime_seconds()
         return Success(self.unchanged_now)
 
     async def list(self, prefix):
@@ -195,7 +195,7 @@
         return source
 
     async def test_unchanged_configuration_is_proved_as_of_the_question(self):
-        asked, shelf = awake_or_not(), FakeStore(delay=0.02)
+        asked, shelf = boottime_seconds(), FakeStore(delay=0.02)
         await self.source(shelf).read(rev(9), asked)
         (proved,) = self.proved
         self.assertGreaterEqual(proved, asked)
@@ -236,7 +236,7 @@
         # of the main reader. If that reader asked a peer, which waits for it in turn, it would read
         # the store only when the last check is 4.3 s old, and all hosts would reject requests for a
         # second.
-        lost = [Failure(StoreCutError("closed")), Failure(HistoryLostError())]
+        lost = [Failure(StoreConnectionClosedError("closed")), Failure(HistoryLostError())]
         found = await self.source(FakeStore(answers=lost)).read(rev(9), 100.0)
         self.assertTrue(found.unwrap().full)
 
@@ -244,10 +244,10 @@
         # Keys are removed while the store sends watchers nothing. With neither a valid check nor
         # changes from the reader, 86 peers would each read the whole content from the store.
         shelf = FakeStore(unchanged=False, delay=5.0)
-        began = awake_or_not()
+        began = boottime_seconds()
         found = await self.source(shelf).read(rev(9), began)
         self.assertTrue(found.unwrap().full)
-        self.assertLess(awake_or_not() - began, 1.0)
+        self.assertLess(boottime_seconds() - began, 1.0)
 
     async def test_reader_that_is_told_of_a_change_takes_what_it_is_told(self):
         found = await self.source(FakeStore(unchanged=False, delay=0.1)).read(rev(9), 100.0)
@@ -271,7 +271,7 @@
         sources = self.sources(me, reader)
         first, store = await sources.in_order(10.0)
         self.assertEqual((first.name, store.name), (reader.name, "store"))
-        sources.failed(first, NoReadingError(first.name), 10.0)
+        sources.failed(first, NoStoreCopyError(first.name), 10.0)
         sources.failed(store, StoreUnavailableError("status 503"), 10.0)
         self.assertEqual(await self.names(sources, 10.5), [])
         self.assertEqual(await self.names(sources, 11.1), [reader.name])
@@ -297,7 +297,7 @@
         me, reader = sorted((me, reader), key=lambda p: p == self.reader(me, reader))
         sources = self.sources(me, reader, Presence("e3", "l", "x:3", "b"))
         first, *_ = await sources.in_order(10.0)
-        sources.failed(first, NoReadingError(first.name), 10.85)
+        sources.failed(first, NoStoreCopyError(first.name), 10.85)
         self.assertEqual(await self.names(sources, 10.85), ["store", "e3"])
 
     async def test_reader_goes_on_asking_the_store(self):
@@ -386,11 +386,11 @@
     async def test_proof_is_never_younger_for_having_been_passed_on(self):
         # The reader last verified its content 2 s ago and answers slowly. If a peer took the time
         # of the answer for that of the check, a removed key would be accepted beyond the bound.
-        now = awake_or_not()
+        now = boottime_seconds()
         self.reader_mirror._apply_reading(
             ReadResult(rev(7), True, [Change("k", b"1", rev(7))], now - 2.0, now - 1.0)
         )
-        asked = awake_or_not()
+        asked = boottime_seconds()
         found = (await self.peer.read(None, asked)).unwrap()
         self.assertLessEqual(found.verified_at, now - 2.0 + 0.001)
         self.assertLessEqual(found.read_at, now - 1.0 + 0.001)
@@ -412,7 +412,7 @@
         self.assertEqual(list(mirror.log.since(rev(10))), [Change("plan", b"new", rev(12))])
 
     async def test_question_waits_for_news(self):
-        now = awake_or_not()
+        now = boottime_seconds()
         self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now, now))
         asked = asyncio.ensure_future(self.peer.read(rev(7), now))
         await asyncio.sleep(0.1)
@@ -426,7 +426,7 @@
     async def test_host_that_is_behind_takes_nothing_back(self):
         # The peer read the store itself and is ahead of the host that it asks. It retains its
         # content and does not revert to that host's revision.
-        now = awake_or_not()
+        now = boottime_seconds()
         self.reader_mirror._apply_reading(
             ReadResult(rev(7), True, [Change("k", b"1", rev(7))], now, now)
         )
@@ -439,7 +439,7 @@
     async def test_peers_hear_of_a_proof_though_the_reading_hangs(self):
         # The store is about to drop its history, so the read hangs. If the reader sent its
         # freshness check only with changes, sixty hosts would each read the store without a result.
-        now = awake_or_not()
+        now = boottime_seconds()
         self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now - 2.0, now))
         asked = asyncio.ensure_future(self.peer.read(rev(7), now))
         await asyncio.sleep(0.1)
@@ -452,18 +452,18 @@
     async def test_host_that_can_not_read_says_so_in_time(self):
         # The reader of this data centre is partitioned from the store. The peer gets a failure soon
         # enough to read the store itself well within the bound of 2 s.
-        now = awake_or_not()
+        now = boottime_seconds()
         self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now, now))
-        before = awake_or_not()
+        before = boottime_seconds()
         found = await self.peer.read(rev(7), before)
         self.assertFalse(is_successful(found))
-        self.assertLess(awake_or_not() - before, 1.2)
+        self.assertLess(boottime_seconds() - before, 1.2)
 
     async def test_entries_that_may_come_back_are_doubted_at_the_peer_too(self):
         # Host entries expired during an outage of the store. A peer that reads only from another
         # host did not observe the outage; unless it learns that entries may reappear, it would
         # treat their groups as gone.
-        now = awake_or_not()
+        now = boottime_seconds()
         self.reader_mirror._mark_uncertain(now + 2.0)
         self.reader_mirror._apply_reading(ReadResult(rev(7), True, [], now, now))
         uncertain_until = []
@@ -478,7 +478,7 @@
         order = []
         mirror._on_uncertain = lambda until: order.append("doubt")
         mirror._on_applied = lambda now: order.append("taken")
-        now = awake_or_not()
+        now = boottime_seconds()
         self.store.readings = [ReadResult(rev(1), True, [], now, now)]
         await mirror._read()
         _, error = await mirror._read()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -69,7 +69,7 @@
 
     def test_all_full_is_told_apart_from_none_whole(self):
         full = router(evidence("g", running=40)).choose(WANTED, 100.0)
-        none = router(evidence("g", whole=False, accepting=False)).choose(WANTED, 100.0)
+        none = router(evidence("g", complete=False, accepting=False)).choose(WANTED, 100.0)
         self.assertEqual((full.full, none.full), (True, False))
         self.assertFalse(router().choose(WANTED, 100.0).known)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -79,7 +79,7 @@
 
 
 class UpkeepTest(unittest.TestCase):
-    def test_a_host_that_changed_has_only_its_domain_worked_out_anew(self):
+    def test_changed_host_recomputes_only_its_domain(self):
         # One host of 1,095 leaves its group. Recomputing all 15 domains takes 0.74 ms of CPU time
         # per store read on each of 195 entry hosts, recomputing only the changed one 0.13 ms. With
         # the former, entry hosts with half a core answered callers a second late.
@@ -104,7 +104,7 @@
         self.assertEqual([c.args[1] for c in rebuilt.call_args_list], ["d3"])
         self.assertEqual(len(fleet.view.candidates("pool", LARGE)), before - 1)
 
-    def test_a_reading_without_news_works_nothing_out(self):
+    def test_read_without_changes_recomputes_nothing(self):
         fleet = Fleet()
         fleet.view.refresh(CATALOG)
         # A heartbeat rewrites the entry of a host without changes.
@@ -112,7 +112,7 @@
         fleet.inventory.put(again)
         self.assertFalse(fleet.view.refresh(CATALOG))
 
-    def test_the_whole_fleet_changing_takes_few_lines_that_a_pipe_takes_whole(self):
+    def test_change_of_all_hosts_takes_few_log_lines_of_atomic_size(self):
         # At the start each host changes three times within seconds. One line per change made 3,300
         # lines before the first request, an eighth of an entry host's work until then. A line that
         # exceeds the atomic write size of a pipe could be truncated.
@@ -141,14 +141,14 @@
         names = [f"i-{number:010x}" for number in range(DOMAINS * HOSTS_EACH)]
         for name in names:
             listed.change(f"servers/{name}", json.dumps(entry).encode(), 1, 0.0)
-        listed.settle(0.0)
+        listed.finish_read(0.0)
         self.assertLess(len(lines), len(names) / 20)
         self.assertLess(max(len(json.dumps(line)) for line in lines), select.PIPE_BUF - 300)
         self.assertEqual([h.instance for line in lines for h in line["hosts"]], names)
 
 
 class MovedHostTest(unittest.TestCase):
-    def test_member_that_says_another_domain_and_ends_is_sent_nothing(self):
+    def test_member_that_changes_its_domain_and_ends_gets_no_requests(self):
         # The entry of a head is overwritten with another domain, and then the host ends. If only
         # the other domain is recomputed, the group keeps its ended head, and requests are sent to
         # an address that no longer exists.
@@ -167,7 +167,7 @@
 
 
 class ForeignEntriesTest(unittest.TestCase):
-    def test_names_that_others_write_leave_nothing_behind(self):
+    def test_removed_foreign_entries_leave_no_cached_state(self):
         # The list is writable by others, and each entry may name a new domain and service. State
         # that is cached by these names and not removed with the entry is a memory leak.
         inventory = Inventory()
@@ -203,7 +203,7 @@
 
 class OracleTest(unittest.TestCase):
     @given(st.lists(st.one_of(_PUT, _DROP, _PLAN, _UNPLAN), max_size=30))
-    def test_what_is_kept_is_what_would_be_worked_out_from_all_hosts(self, steps):
+    def test_cached_state_equals_a_full_recomputation(self, steps):
         inventory = Inventory()
         plans = KeyedCopy(decode_plan, Records("e"))
         view = ServingView(inventory, plans, random.Random(1))
@@ -246,7 +246,7 @@
 
 
 class LoopLagTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_step_that_holds_the_loop_up_shows(self):
+    async def test_blocking_step_is_reported_as_lag(self):
         # A step blocks the event loop for a fifth of a second and delays the timers of all tasks by
         # as much. The process reports this delay, to distinguish it from a slow target.
         kernel = Kernel()
@@ -261,9 +261,9 @@
         await task.start()
         for _ in range(5):
             await asyncio.sleep(0.01)
-        kernel.lag.take()
+        kernel.lag.pop_longest()
         time.sleep(0.2)
         await asyncio.sleep(0.05)
-        self.assertGreater(kernel.lag.take(), 0.15)
+        self.assertGreater(kernel.lag.pop_longest(), 0.15)
         self.assertGreater(kernel.lag.longest, 0.15)
         await task.stop()
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -38,9 +38,9 @@
 from oleanderhill.settings.catalog import (
     Account,
     Backend,
-    EngineShape,
-    EngineTimes,
-    ModelShape,
+    EngineProfile,
+    EngineTiming,
+    ModelProfile,
     Repeatable,
     Route,
     Service,
@@ -57,7 +57,7 @@
         "prefix": prefix,
         "repeatable": repeatable,
         "timeout": 1.0,
-        "goal": 0.2,
+        "latency_goal": 0.2,
         "max_attempts": 2,
         "priority": 1,
         "public": False,
@@ -96,10 +96,10 @@
         self.assertAlmostEqual(drawn.count("y") / 2000, 0.1, delta=0.03)
 
     def test_what_may_run_again_follows_from_the_kind_and_not_the_method(self):
-        self.assertTrue(route().may_run_again)
-        self.assertFalse(route(repeatable=Repeatable.ONCE).may_run_again)
-        self.assertFalse(route(repeatable=Repeatable.STREAM).may_run_again)
-        self.assertTrue(route(repeatable=Repeatable.STREAM, resumable=True).may_run_again)
+        self.assertTrue(route().is_retryable)
+        self.assertFalse(route(repeatable=Repeatable.ONCE).is_retryable)
+        self.assertFalse(route(repeatable=Repeatable.STREAM).is_retryable)
+        self.assertTrue(route(repeatable=Repeatable.STREAM, resumable=True).is_retryable)
 
 
 class AdmissionTest(unittest.TestCase):
@@ -132,20 +132,20 @@
         )
 
 
-TIMES = EngineTimes(5.95e-3, 0.089e-3, 0.01626e-6, 7, 1 / 50_700, 1115, 178)
+TIMES = EngineTiming(5.95e-3, 0.089e-3, 0.01626e-6, 7, 1 / 50_700, 1115, 178)
 """Engine timing: steps of 6 ms, seven per pass, prompts of 1,115 tokens, answers of 178 tokens."""
 
 
 def shape(batch=13, times=TIMES):
-    return EngineShape(batch, 4.5, 6, {}, times)
+    return EngineProfile(batch, 4.5, 6, {}, times)
 
 
 class PredictionTest(unittest.TestCase):
     def test_first_event_at_a_full_group_is_predicted_from_the_engines_terms(self):
         # Without faults, callers of these two models measured medians of 0.116 and 0.066 s,
         # including the network round trip.
-        large = predict(shape(), ModelShape("large", 4, 0.6, 1.0, 16.0, 1.6))
-        small = predict(shape(), ModelShape("small", 3, 0.4, 0.6, 12.0, 1.1))
+        large = predict(shape(), ModelProfile("large", 4, 0.6, 1.0, 16.0, 1.6))
+        small = predict(shape(), ModelProfile("small", 3, 0.4, 0.6, 12.0, 1.1))
         self.assertAlmostEqual(large.first_event, 0.10, delta=0.01)
         self.assertAlmostEqual(small.first_event, 0.06, delta=0.01)
         self.assertAlmostEqual(large.slot_interval, 0.12, delta=0.01)
@@ -153,13 +153,13 @@
     def test_so_many_may_wait_that_the_last_is_on_time(self):
         # A slot becomes free every 0.12 s. A request with a goal of 0.3 s for its first event can
         # wait for one slot, with 0.4 s for two; with 0.1 s it needs a free slot immediately.
-        large = predict(shape(), ModelShape("large", 4, 0.6, 1.0, 16.0, 1.6))
+        large = predict(shape(), ModelProfile("large", 4, 0.6, 1.0, 16.0, 1.6))
         waiting = [max_waiting(large, goal, 13) for goal in (0.1, 0.2, 0.3, 0.4)]
         self.assertEqual([int(w) for w in waiting], [0, 0, 1, 2])
         self.assertLessEqual(max_waiting(large, 60.0, 13), 6.5)
 
     def test_without_the_engines_terms_nothing_is_predicted(self):
-        self.assertIsNone(predict(shape(times=None), ModelShape("m", 1, 1.0, 1.0, 1.0, 1.0)))
+        self.assertIsNone(predict(shape(times=None), ModelProfile("m", 1, 1.0, 1.0, 1.0, 1.0)))
 
 
 class StandingTest(unittest.TestCase):
@@ -215,7 +215,7 @@
         self.assertFalse(returning.is_retry("other", 4.5, True))
 
 
-class CurrencyTest(unittest.TestCase):
+class FreshnessTest(unittest.TestCase):
     def test_proof_runs_out_before_the_bound(self):
         # A key is revoked at 10.0, and the host receives no updates from then on. A request sent at
         # 15.0 or later must not run with it; the last freshness check may just precede the removal.
@@ -360,7 +360,9 @@
 
 class PatienceTest(unittest.TestCase):
     def test_stream_leaves_early_enough_to_go_on_in_time(self):
-        stream = route(repeatable=Repeatable.STREAM, resumable=True, goal=0.4, pause_goal=0.3)
+        stream = route(
+            repeatable=Repeatable.STREAM, resumable=True, latency_goal=0.4, event_gap_goal=0.3
+        )
         self.assertLess(stall_timeout_for(stream, True) + 0.1, 0.3)
         self.assertLess(stall_timeout_for(stream, False), 0.4)
 
@@ -379,7 +381,7 @@
         for n in range(3000):
             now = n * 0.003
             budget = budgets[0 if n % 10 else n // 10 % 9]
-            budget.request(now)
+            budget.record_request(now)
             requests += 1
             retries += budget.take(now)
         self.assertLessEqual(retries, 0.2 * requests + 134)
@@ -393,7 +395,7 @@
         budget = SharedRetryBudget(0.2, 274, 10.0)
         budget.hosts = 87
         for _ in range(19):
-            budget.request(0.0)
+            budget.record_request(0.0)
         alone = sum(budget.take(1.0) for _ in range(40))
         budget.apply_peer_update("total/0", RetryCount(86, 86 * 19, 60), 1.6)
         self.assertLess(alone, 6)
@@ -440,7 +442,7 @@
                 if reachable and rng.random() > 0.1:
                     budget.apply_peer_update("total/0", sum_counts(reachable), now)
                 if rng.random() < 0.1:
-                    budget.request(now)
+                    budget.record_request(now)
                     requested_at.append(now)
             for budget in greedy if tick % 100 < 50 else budgets:
                 while budget.take(now):
@@ -477,14 +479,14 @@
         effects = machine.handle(Chosen(self.choice("b")), 0.0)
         self.assertIsInstance(effects[0], Dispatch)
         machine.handle(Sending(2), 0.0)
-        self.assertFalse(machine.may_move(0.1))
+        self.assertFalse(machine.may_retry_elsewhere(0.1))
         self.assertIsInstance(machine.handle(Lost(2, "reset"), 0.1)[-1], Fail)
 
     def test_stuck_request_stays_where_the_budget_is_spent(self):
         machine = self.machine(True, 2, SharedRetryBudget(0.0, 0.0, 10.0))
         machine.handle(Chosen(self.choice("a")), 0.0)
         machine.handle(Sending(1), 0.0)
-        self.assertFalse(machine.may_move(0.1))
+        self.assertFalse(machine.may_retry_elsewhere(0.1))
 
 
 class EventTest(unittest.TestCase):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,10 +10,10 @@
 from oleanderhill.settings.documents import Document, Documents
 from oleanderhill.settings.writes import (
     Change,
-    Ended,
     SettingsInForce,
     Subtree,
     SubtreeWrite,
+    WriteResult,
     WriteState,
 )
 
@@ -53,7 +53,7 @@
         self.assertIn("'priority'", found["$.groups.g.priorty"])
         self.assertIn("$.accounts.clerks.key_hashes[0]", found)
 
-    def test_names_that_lead_nowhere_are_found_with_a_hint(self):
+    def test_unknown_names_are_reported_with_a_suggestion(self):
         bad = json.loads(json.dumps(YARD))
         bad["groups"]["g"]["version"] = "v11"
         bad["accounts"]["clerks"]["models"] = ["n"]
@@ -61,7 +61,7 @@
         self.assertIn("'v1'", found["$.groups.g.version"])
         self.assertIn("$.accounts.clerks.models", found)
 
-    def test_wish_over_the_budget_is_refused(self):
+    def test_request_over_the_budget_is_refused(self):
         self.assertIn("$.groups", findings(YARD, budgets={"yard": {"hall": 7}}))
         self.assertEqual(findings(YARD, budgets={"yard": {"hall": 8}}), {})
 
@@ -74,7 +74,7 @@
         # One operator raises a request for hosts while another lowers the budget, and both
         # changes are accepted. The allocation must stay within the budget in force, and the
         # clipped request must be reported.
-        built = fleet.build({"yard": YARD, "fleet": {"host_budgets": {"yard": {"hall": 4}}}})
+        built = fleet.build_fleet({"yard": YARD, "fleet": {"host_budgets": {"yard": {"hall": 4}}}})
         self.assertEqual(len(built.wanted_by_data_centre["hall"]), 1)
         self.assertEqual(built.clipped[0].budget, 4)
 
@@ -83,15 +83,15 @@
         # different data centres.
         tree = json.loads(json.dumps(YARD))
         tree["groups"]["g"]["replicas"] = {"hall": 2, "yard": 2}
-        wanted = fleet.build({"yard": tree}).wanted_by_data_centre
+        wanted = fleet.build_fleet({"yard": tree}).wanted_by_data_centre
         ids = [w.group for groups in wanted.values() for w in groups]
         self.assertEqual(len(set(ids)), 4)
 
     def test_key_is_found_by_its_hash_alone(self):
-        held = {fleet.hash_of("right"): "view"}
+        held = {fleet.hash_key("right"): "view"}
         self.assertEqual(fleet.find_by_key(held, "right"), "view")
         self.assertIsNone(fleet.find_by_key(held, "wrong"))
-        self.assertIsNone(fleet.find_by_key(held, fleet.hash_of("right")))
+        self.assertIsNone(fleet.find_by_key(held, fleet.hash_key("right")))
 
 
 class WriteTest(unittest.TestCase):
@@ -101,73 +101,73 @@
     def test_lost_answer_is_found_in_the_history(self):
         write = self.write()
         write.start()
-        (swap,) = write.read(b"", 0)
-        write.failed(True)
-        (ended,) = write.read(swap.value, 1)
+        (swap,) = write.on_read(b"", 0)
+        write.on_failed(True)
+        (ended,) = write.on_read(swap.value, 1)
         self.assertEqual((ended.state, ended.revision), (WriteState.ACCEPTED, 1))
 
     def test_lost_write_that_was_overtaken_is_refused(self):
         write = self.write()
         write.start()
-        write.read(b"", 0)
-        write.failed(True)
+        write.on_read(b"", 0)
+        write.on_failed(True)
         other = settings.encode_subtree(Subtree(1, settings.msgspec.Raw(b"{}"), ()))
-        (ended,) = write.read(other, 1)
+        (ended,) = write.on_read(other, 1)
         self.assertEqual(ended.state, WriteState.REFUSED)
 
     def test_unresolved_write_is_unknown_and_never_refused(self):
         write = self.write()
         write.start()
-        write.read(b"", 0)
-        write.failed(True)
-        write.failed(False)
-        self.assertEqual(write.timeout().state, WriteState.UNKNOWN)
+        write.on_read(b"", 0)
+        write.on_failed(True)
+        write.on_failed(False)
+        self.assertEqual(write.on_timeout().state, WriteState.UNKNOWN)
 
     def test_write_on_an_old_revision_is_refused(self):
         write = self.write(base=1, known=0)
         write.start()
         stored = settings.encode_subtree(Subtree(2, settings.msgspec.Raw(b"{}"), ()))
-        self.assertEqual(write.read(stored, 5), [Ended(WriteState.REFUSED, 2)])
+        self.assertEqual(write.on_read(stored, 5), [WriteResult(WriteState.REFUSED, 2)])
 
     def test_write_after_the_store_was_set_back_outranks_what_is_in_force(self):
         write = self.write(known=9)
         write.start()
         stored = settings.encode_subtree(Subtree(3, settings.msgspec.Raw(b"{}"), ()))
-        write.read(stored, 5)
-        self.assertEqual(write.swapped(True)[0].revision, 10)
+        write.on_read(stored, 5)
+        self.assertEqual(write.on_swapped(True)[0].revision, 10)
 
 
 class InForceTest(unittest.TestCase):
     def test_invalid_subtree_leaves_the_last_valid_in_force(self):
         in_force = SettingsInForce()
-        in_force.take(document(1), 0.0)
-        self.assertFalse(in_force.take(document(2, {"modles": 1}), 1.0))
+        in_force.apply(document(1), 0.0)
+        self.assertFalse(in_force.apply(document(2, {"modles": 1}), 1.0))
         state = in_force.state_by_team["yard"]
-        self.assertEqual((state.revision, state.seen), (1, 2))
+        self.assertEqual((state.revision, state.latest_revision), (1, 2))
         self.assertTrue(state.findings)
         self.assertIn("models", in_force.tree_by_team["yard"])
 
     def test_next_valid_subtree_comes_into_force(self):
         in_force = SettingsInForce()
-        in_force.take(document(1, {"modles": 1}), 0.0)
-        self.assertTrue(in_force.take(document(2), 1.0))
+        in_force.apply(document(1, {"modles": 1}), 0.0)
+        self.assertTrue(in_force.apply(document(2), 1.0))
         self.assertEqual(in_force.state_by_team["yard"].findings, ())
 
 
 class DocumentsTest(unittest.TestCase):
     def test_older_news_is_ignored(self):
         held = Documents()
-        held.offer(document(5), 0.0)
-        self.assertFalse(held.offer(document(4), 0.0))
+        held.store_if_newer(document(5), 0.0)
+        self.assertFalse(held.store_if_newer(document(4), 0.0))
         self.assertEqual(held.revision("settings/yard"), 5)
 
-    def test_peers_that_hold_the_same_say_nothing(self):
+    def test_equal_digests_need_no_reply(self):
         a, b = Documents(), Documents()
         for held in (a, b):
-            held.offer(document(5), 0.0)
-        self.assertEqual(b.answer(a.digest()), [])
+            held.store_if_newer(document(5), 0.0)
+        self.assertEqual(b.reply_to_digest(a.digest()), [])
 
     def test_store_that_was_set_back_is_written_over(self):
         held = {"settings/yard": document(5)}
-        self.assertEqual(documents.to_write_back(held, {"settings/yard": 3}), [document(5)])
-        self.assertEqual(documents.to_write_back(held, {"settings/yard": 5}), [])
+        self.assertEqual(documents.missing_in_store(held, {"settings/yard": 3}), [document(5)])
+        self.assertEqual(documents.missing_in_store(held, {"settings/yard": 5}), [])
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -49,7 +49,7 @@
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    async def test_reload_order_during_the_start_does_not_end_the_process(self):
+    async def test_reload_signal_during_startup_does_not_end_the_process(self):
         # The platform sends a reload signal while a restarted process still loads its modules. An
         # unhandled signal would end the process again. A signal before the first line of the
         # program cannot be handled, and reaching that line may take long on a busy machine, so the
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -7,18 +7,18 @@
 from oleanderhill.domains.placement import Policy
 from oleanderhill.domains.steward import TICK, DomainSteward
 from oleanderhill.domains.stewardship import encode_ledger
-from oleanderhill.types import DomainLedger, HostEntry, SeenReport, WantedGroup
+from oleanderhill.types import DomainLedger, HostEntry, TimedReport, WantedGroup
 
 from .test_placement import GROUP, SPEC, record, report, serving
 
-OWNED = DomainLedger("d", owner="e1", owner_life="1", owner_epoch=4, version=7)
+OWNED = DomainLedger("d", owner="e1", owner_incarnation="1", owner_epoch=4, version=7)
 
 
 def make_steward(fencing=True):
     steward = DomainSteward("e1", "1", "d", Policy(), fencing)
-    steward.life_by_live = {"e1": "1"}
+    steward.incarnation_by_host = {"e1": "1"}
     steward.settled = True
-    steward.watch.hosts([HostEntry(h, h, "d", "dc") for h in ("a", "b", "c")])
+    steward.watch.set_hosts([HostEntry(h, h, "d", "dc") for h in ("a", "b", "c")])
     steward.wanted = (WantedGroup(GROUP, SPEC),)
     return steward
 
@@ -29,17 +29,17 @@
         "d", owner_epoch=3, groups={r.group: r for r in records}, last_epoch={GROUP: 1}
     )
     steward.tick(now)
-    effects = steward.store(stewardship.LedgerAnswer(encode_ledger(found), 1), now)
+    effects = steward.apply_store_event(stewardship.LedgerAnswer(encode_ledger(found), 1), now)
     assert isinstance(effects[-1], stewardship.SwapLedger)
-    effects = steward.store(stewardship.SwapAnswer(True), now)
+    effects = steward.apply_store_event(stewardship.SwapAnswer(True), now)
     assert isinstance(effects[-1], stewardship.ReadLedger)
     taken = steward.ledger
-    steward.store(stewardship.LedgerAnswer(encode_ledger(taken), 2), now)
+    steward.apply_store_event(stewardship.LedgerAnswer(encode_ledger(taken), 2), now)
 
 
 def apply_reports(steward, reports, now):
     for item in reports:
-        steward.watch.saw(SeenReport(item, now))
+        steward.watch.apply_report(TimedReport(item, now))
 
 
 def run(steward, start, seconds, reports):
@@ -79,7 +79,7 @@
         own(steward, 100.0, [record()])
         whole = [serving("a", 0), serving("b", 1), report("c")]
         _, now = run(steward, 100.0, 10.0, whole)
-        steward.store(stewardship.LedgerAnswer(encode_ledger(steward.ledger), 2), now)
+        steward.apply_store_event(stewardship.LedgerAnswer(encode_ledger(steward.ledger), 2), now)
         effects = steward.tick(now + 100.0)
         self.assertFalse(swaps(effects))
         effects, _ = run(steward, now + 100.0, 5.0, whole)
@@ -92,7 +92,7 @@
         own(steward, 100.0)
         other = OWNED._replace(owner="e2", owner_epoch=9)
         steward.tick(111.0)
-        steward.store(stewardship.LedgerAnswer(encode_ledger(other), 5), 111.0)
+        steward.apply_store_event(stewardship.LedgerAnswer(encode_ledger(other), 5), 111.0)
         self.assertFalse(steward.owned)
         effects, _ = run(steward, 111.0, 20.0, [])
         self.assertFalse([e for e in effects if isinstance(e, stewardship.ReadLedger)])
@@ -104,7 +104,7 @@
         own(steward, 100.0, [record()])
         older = steward.ledger._replace(groups={}, version=0)
         steward.tick(111.0)
-        steward.store(stewardship.LedgerAnswer(encode_ledger(older), 9), 111.0)
+        steward.apply_store_event(stewardship.LedgerAnswer(encode_ledger(older), 9), 111.0)
         self.assertIn(GROUP, steward.ledger.groups)
         effects = steward.tick(111.5)
         self.assertEqual([s.modify_index for s in swaps(effects)], [9])
@@ -112,23 +112,25 @@
     def test_lost_take_over_is_found_by_reading(self):
         steward = make_steward()
         steward.tick(100.0)
-        effects = steward.store(stewardship.LedgerAnswer(b"", 0), 100.0)
+        effects = steward.apply_store_event(stewardship.LedgerAnswer(b"", 0), 100.0)
         (swap,) = swaps(effects)
-        steward.store(stewardship.StoreFailed(True), 102.0)
+        steward.apply_store_event(stewardship.StoreFailed(True), 102.0)
         self.assertFalse(steward.owned)
         steward.tick(104.0)
-        steward.store(stewardship.LedgerAnswer(swap.value, 1), 104.0)
+        steward.apply_store_event(stewardship.LedgerAnswer(swap.value, 1), 104.0)
         self.assertTrue(steward.owned)
 
     def test_live_owner_keeps_its_domain(self):
         steward = make_steward()
-        steward.life_by_live = {"e1": "1", "e0": "7"}
-        found = OWNED._replace(owner="e0", owner_life="7")
+        steward.incarnation_by_host = {"e1": "1", "e0": "7"}
+        found = OWNED._replace(owner="e0", owner_incarnation="7")
         steward._next_take_over = 0.0
-        steward.life_by_live = {"e1": "1"}
+        steward.incarnation_by_host = {"e1": "1"}
         steward.tick(100.0)
-        steward.life_by_live = {"e1": "1", "e0": "7"}
-        effects = steward.store(stewardship.LedgerAnswer(encode_ledger(found), 1), 100.0)
+        steward.incarnation_by_host = {"e1": "1", "e0": "7"}
+        effects = steward.apply_store_event(
+            stewardship.LedgerAnswer(encode_ledger(found), 1), 100.0
+        )
         self.assertFalse(swaps(effects))
 
     def test_store_outage_stops_orders_only_where_engines_ignore_fencing(self):
@@ -137,7 +139,7 @@
             own(steward, 100.0, [record()])
             reports = [serving("a", 0), report("b"), report("c")]
             effects, now = run(steward, 100.0, 1.5, reports)
-            steward.ticket(OrderKey("load", "b", GROUP, 1), 0.0, now)
+            steward.apply_ticket(OrderKey("load", "b", GROUP, 1), 0.0, now)
             effects, _ = run(steward, now, 20.0, reports)
             self.assertEqual(bool(orders(effects)), fencing)
 
@@ -147,7 +149,7 @@
             own(steward, 100.0, [record()])
             broken = [serving("a", 0), report("c")]
             effects, now = run(steward, 100.0, 12.0, broken)
-            steward.store(stewardship.StoreFailed(True), now)
+            steward.apply_store_event(stewardship.StoreFailed(True), now)
             hosts = [m.host for m in steward.ledger.groups[GROUP].members]
             self.assertEqual(hosts, ["a", "c"] if fencing else ["a", "b"])
             self.assertEqual(steward.unsaved, fencing)
@@ -159,7 +161,7 @@
         own(steward, 100.0, [record()])
         reports = [serving("a", 0), report("b"), report("c")]
         _, now = run(steward, 100.0, 3.0, reports)
-        steward.ticket(OrderKey("load", "b", GROUP, 1), 0.0, now)
+        steward.apply_ticket(OrderKey("load", "b", GROUP, 1), 0.0, now)
         effects, now = run(steward, now, 0.5, reports)
         self.assertEqual([o.host for o in orders(effects)], ["b"])
         steward.ledger = steward.ledger._replace(groups={})
@@ -170,7 +172,7 @@
     def test_malformed_ledger_is_reported_and_changes_nothing(self):
         steward = make_steward()
         steward.tick(100.0)
-        (effect,) = steward.store(stewardship.LedgerAnswer(b"{", 1), 100.0)
+        (effect,) = steward.apply_store_event(stewardship.LedgerAnswer(b"{", 1), 100.0)
         self.assertEqual(effect.part, "fault")
         self.assertFalse(steward.owned)
 
@@ -181,7 +183,7 @@
         self.entries = {h: HostEntry(h, h, "d", "dc") for h in ("a", "b", "c")}
 
     def due(self, *reports):
-        seen = {r.host: SeenReport(r, 99.9) for r in reports}
+        seen = {r.host: TimedReport(r, 99.9) for r in reports}
         return [d.order for d in due_orders(self.ledger, self.entries, seen, {}, 100.0)]
 
     def test_host_in_an_unknown_boot_gets_no_load(self):
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -50,7 +50,7 @@
         return [entry._catalog.version for entry in self.site.entries]
 
     async def test_configurations_after_the_restore_come_into_force_and_none_goes_back(self):
-        backup = self.site.store.back_up()
+        backup = self.site.store.take_backup()
         self.site.configure(2, KEYS)
         await until(lambda: self.versions() == [2, 2, 2])
         seen = set()
@@ -65,7 +65,7 @@
         await until(lambda: self.versions() == [3, 3, 3], PROPAGATION_SECONDS)
 
     async def test_target_that_says_that_it_leaves_after_the_restore_gets_no_requests(self):
-        await self.restore(self.site.store.back_up())
+        await self.restore(self.site.store.take_backup())
         await asyncio.sleep(REWRITE_SECONDS)
         key = "servers/t-0"
         entry = json.loads(self.site.store.items[key].value) | {"state": "draining"}
@@ -77,7 +77,7 @@
         await until(known, PROPAGATION_SECONDS)
 
     async def test_key_that_was_taken_away_after_the_restore_is_dead(self):
-        backup = self.site.store.back_up()
+        backup = self.site.store.take_backup()
         await self.restore(backup)
         await asyncio.sleep(REWRITE_SECONDS)
         self.site.store.put("op/config", configuration(2, {"hall": ["key-a"], "yard": []}))
@@ -89,7 +89,7 @@
     async def test_group_formed_since_the_backup_goes_on_and_is_not_named_again(self):
         model = await self.model_with_two_groups()
         epochs = {h.group["epoch"] for h in self.engines() if h.group}
-        backup = self.site.store.back_up()
+        backup = self.site.store.take_backup()
         for key in [k for k in backup.items if "plan" in k]:
             del backup.items[key]
         await self.settled()
@@ -97,7 +97,7 @@
         self.assertEqual(len(heads), 2)
         leaves = self.leaves()
         serving = asyncio.create_task(
-            self.press(10, OUTAGE_SECONDS + 5.0, "/read/x", "POST", model)
+            self.send_at_rate(10, OUTAGE_SECONDS + 5.0, "/read/x", "POST", model)
         )
         await self.restore(backup, refuses=True)
         answers = await serving
@@ -123,7 +123,7 @@
             await asyncio.sleep(2.0)
 
     async def test_entry_hosts_stay_present_and_one_reads_for_all(self):
-        backup = self.site.store.back_up()
+        backup = self.site.store.take_backup()
         for key in [k for k in backup.items if "entry" in k]:
             del backup.items[key]
         present_counts = []
@@ -148,7 +148,7 @@
 
     async def test_backup_taken_just_before_hides_nothing_though_its_revisions_come_again(self):
         for version in (2, 3, 4):
-            backup = self.site.store.back_up()
+            backup = self.site.store.take_backup()
             store = self.site.store
             store.put("elsewhere", b"lost")
             await self.until_known(store.revision)
@@ -158,7 +158,7 @@
             await until(lambda v=version: self.versions() == [v, v, v], PROPAGATION_SECONDS)
 
     async def test_quarantine_that_the_backup_lacks_holds_and_is_written_again(self):
-        backup = self.site.store.back_up()
+        backup = self.site.store.take_backup()
         record = QuarantineRecord("entry-0", {"a@1": {}, "b@1": {}, "c@1": {}}, True)
         key = QUARANTINE_PREFIX + "0f" * 16
         self.site.store.put(key, msgspec.json.encode(record))
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -13,7 +13,7 @@
 from oleanderhill.kernel import Kernel
 from oleanderhill.requests.attempts import Request, RetryBudget
 from oleanderhill.requests.exchange import Exchange, StallTimeouts, TargetRequest
-from oleanderhill.requests.suspects import SuspectsTask
+from oleanderhill.requests.quarantine import RequestQuarantineTask
 from oleanderhill.routing.router import Choice, Requirements
 from oleanderhill.types import Member
 
@@ -63,7 +63,7 @@
         self.problem = problem
 
 
-class OwnEdgeTest(unittest.IsolatedAsyncioTestCase):
+class CrashCausingRequestTest(unittest.IsolatedAsyncioTestCase):
     async def send(self, finder, suspects, number, body=b"fatal"):
         sink, request = _Sink(), Request(f"r{number}", True, False, time.monotonic() + 5.0)
         requirements = Requirements("m", "", "", "")
@@ -82,11 +82,13 @@
         await Exchange(outgoing, sink, finder, *parts).run()
         return sink.problem
 
-    async def test_request_that_ends_each_engine_is_soon_passed_on_to_none(self):
+    async def test_request_that_crashes_each_engine_is_quarantined(self):
         # Guards against a crash-causing request that its caller keeps retrying. Each retry has a
         # new id but the same method, path, account and body. If nothing is remembered beyond one
         # answer, ten retries at the maximum of four attempts each crash forty engines.
-        suspects = SuspectsTask(Kernel(), "entry", random.Random(1), Decisions("entry"), lambda: 10)
+        suspects = RequestQuarantineTask(
+            Kernel(), "entry", random.Random(1), Decisions("entry"), lambda: 10
+        )
         finder = _CrashingEngines()
         for number in range(10):
             problem = await self.send(finder, suspects, number)
--- a/tests/test_users_site.py
+++ b/tests/test_users_site.py
@@ -12,7 +12,7 @@
 from tornado.httputil import HTTPHeaders
 
 from oleanderhill.clients.httpcall import Call, HttpCaller, Observer
-from oleanderhill.clock import awake_or_not
+from oleanderhill.clock import boottime_seconds
 from oleanderhill.platform.decoding import decode_configuration, decode_host
 from oleanderhill.platform.headers import MAX_UNKNOWN_NAMES, HeaderCodec
 from oleanderhill.serving import front
@@ -93,7 +93,7 @@
         result, reader = await self.ask(*arguments, **options)
         return result.unwrap(), reader
 
-    async def press(self, rate, seconds, path, method="GET", model="", entries=None):
+    async def send_at_rate(self, rate, seconds, path, method="GET", model="", entries=None):
         """Send requests at a rate to the entry hosts in turn; return replies and durations."""
         asked = []
         turn = itertools.cycle(entries or self.site.entries)
@@ -108,41 +108,41 @@
         result, _ = await self.ask(path, method, entry=entry, model=model)
         return result.unwrap() if is_successful(result) else None, time.monotonic() - began
 
-    async def first_told(self, demand, path, method="GET", model=""):
-        """Send requests until one reaches the target with this demand; return the time."""
-        seen = len(demand.arrivals)
-        while len(demand.arrivals) == seen:
+    async def wait_for_first_notice(self, notices, path, method="GET", model=""):
+        """Send requests until one reaches the target with these notices; return the time."""
+        seen = len(notices.arrivals)
+        while len(notices.arrivals) == seen:
             # Several requests are needed, as the less busy target is preferred and may be another.
-            await self.press(100, 0.1, path, method, model, [self.entry])
+            await self.send_at_rate(100, 0.1, path, method, model, [self.entry])
         return time.monotonic()
 
     def runs(self, request_id):
         return [r for r in self.site.engines.runs if r.request_id == request_id]
 
-    def assert_whole_stream(self, reader, first=0):
+    def assert_complete_stream(self, reader, first=0):
         numbers = [
             int(e.split(b"\n")[0][4:]) for e in reader.body.split(b"\n\n") if e.startswith(b"id: ")
         ]
-        self.assertEqual(numbers, list(range(first, self.site.engines.pieces)))
+        self.assertEqual(numbers, list(range(first, self.site.engines.events_per_stream)))
 
 
 class ServingTest(SiteTest):
-    async def test_stream_runs_in_a_whole_group_under_its_accounts_name(self):
+    async def test_stream_runs_in_a_complete_group_under_its_accounts_name(self):
         reply, reader = await self.reply("/read/x", "POST", model=LARGE)
         self.assertEqual(reply.status, 200)
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
         (run,) = self.runs(self.request_id)
-        self.assertEqual((run.account, run.members_ready), ("hall", 3))
+        self.assertEqual((run.account, run.joined_members), ("hall", 3))
         self.assertEqual(reply.headers["Response-Seal"], f"seal-{run.instance}")
 
-    async def test_plain_request_goes_on_unchanged(self):
+    async def test_plain_request_is_forwarded_unchanged(self):
         reply, reader = await self.reply("/scan/a?b=c%20d")
         self.assertIn(b"GET /scan/a?b=c%20d", reader.body)
         self.assertEqual(reply.headers["Attempt-Id"], self.request_id)
 
     async def test_caller_that_resumes_gets_what_it_lacks(self):
         _, reader = await self.reply("/read/x", "POST", model=SMALL, Last_Event_Id="3")
-        self.assert_whole_stream(reader, 4)
+        self.assert_complete_stream(reader, 4)
 
     async def test_first_request_of_a_connection_is_told_from_those_after_it(self):
         # Callers retry a rejected request on a new connection. A request on a reused connection is
@@ -174,14 +174,14 @@
         self.assertLess(time.monotonic() - began, 0.5)
 
 
-class CurrencyTest(SiteTest):
-    async def test_proof_is_as_young_as_the_reading(self):
+class FreshnessTest(SiteTest):
+    async def test_freshness_check_is_as_recent_as_the_store_read(self):
         # A partitioned host may accept keys until its last freshness check is too old. If the check
         # is as recent as the last store read (0.0 s instead of 1.3 s in a benchmark), that time is
         # nearly all of the bound for removed keys.
-        await until(lambda: self.entry._freshness.age(awake_or_not()) < 0.3)
+        await until(lambda: self.entry._freshness.age(boottime_seconds()) < 0.3)
 
-    async def test_changed_configuration_is_not_proved_by_the_old_one(self):
+    async def test_check_of_the_old_configuration_does_not_verify_the_new_one(self):
         checks = []
         unchanged = self.entry._store.unchanged
 
@@ -237,24 +237,24 @@
         # member detects it. Each stream of the group stops and must resume at another complete
         # group after its last event, so that the caller receives every event once.
         model = await self.model_with_two_groups()
-        self.site.engines.pieces = 40
+        self.site.engines.events_per_stream = 40
         asked = asyncio.create_task(self.ask("/read/x", "POST", model=model))
         (first,) = await until(lambda: self.runs("request-1"))
         await asyncio.sleep(0.2)
         head = self.site.engines.host_by_instance[first.instance]
         self.site.lose_host(head.members[1])
         _, reader = await asked
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
         second = self.runs("request-1")[1]
         self.assertNotEqual(second.group, first.group)
-        self.assertEqual(second.members_ready, first.members_ready)
+        self.assertEqual(second.joined_members, first.joined_members)
         self.assertLess(reader.longest_pause, 1.0)
 
     async def test_stalled_stream_stays_where_no_other_group_has_room(self):
         # A group stalls for half a second while the only other one is full. If the stream were
         # moved, it would be aborted although its own group recovers.
         model = await self.model_with_two_groups()
-        self.site.engines.pieces = 30
+        self.site.engines.events_per_stream = 30
         asked = asyncio.create_task(self.ask("/read/x", "POST", model=model))
         (first,) = await until(lambda: self.runs("request-1"))
         others = [c.target for c in self.entry.candidates("pool", model)]
@@ -268,16 +268,16 @@
             await asyncio.sleep(0.1)
         member.alive = True
         _, reader = await asked
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
         self.assertEqual(len(self.runs("request-1")), 1)
 
     async def test_stream_torn_within_an_event_goes_on_at_the_border(self):
         # The target's connection ends in the middle of an event. If the partial event were
         # forwarded, it would be joined with the first event of the resumed stream.
         model = await self.model_with_two_groups()
-        self.site.engines.tear_after = 4
+        self.site.engines.break_at_event = 4
         _, reader = await self.reply("/read/x", "POST", model=model)
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
         self.assertEqual([r.resumed_after for r in self.runs(self.request_id)], [None, 3])
 
     async def test_lost_member_is_replaced_and_the_group_serves_again(self):
@@ -296,15 +296,15 @@
 
         await until(repaired, 25.0)
         reply, reader = await self.reply("/read/x", "POST", model=LARGE)
-        self.assert_whole_stream(reader)
-        self.assertTrue(all(r.members_ready == 3 for r in self.site.engines.runs[-1:]))
+        self.assert_complete_stream(reader)
+        self.assertTrue(all(r.joined_members == 3 for r in self.site.engines.runs[-1:]))
 
-    async def test_look_that_fails_is_logged_and_not_the_last(self):
+    async def test_failed_domain_refresh_is_logged_and_repeated(self):
         # An exception in a domain refresh that was triggered by a change and not by the timer. If
         # it ended the task silently, no group would be repaired in time any more.
         owner = self.entry._owner
         failures, refreshes = [], []
-        owner.failed = failures.append
+        owner.log_failure = failures.append
         original = owner._refresh_all
 
         def fail_once():
@@ -318,7 +318,7 @@
         await until(lambda: len(refreshes) > 2)
         self.assertEqual([str(f) for f in failures], ["a fault"])
 
-    async def test_store_that_refuses_is_not_pressed_with_plans(self):
+    async def test_rejecting_store_is_not_flooded_with_plans(self):
         # A member is lost when the store begins to reject all writes immediately, so the owner
         # can't write that the group is dissolved. Without a pause between attempts it would retry
         # every 20 ms until its copy is too old (61 calls here), as it did in an incident.
@@ -371,7 +371,7 @@
     async def test_caller_that_leaves_ends_its_run(self):
         # The caller closes its connection in the middle of a stream. Without cancellation the
         # target would generate the rest of it for no one.
-        self.site.engines.pieces = 400
+        self.site.engines.events_per_stream = 400
         asked = asyncio.create_task(self.ask("/read/x", "POST", model=LARGE))
         await until(lambda: self.runs("request-1"))
         self.assertEqual(self.entry.front.in_flight, 1)
@@ -380,7 +380,7 @@
 
 
 class StoreFailureTest(SiteTest):
-    async def test_keys_are_refused_once_the_proof_is_old_and_taken_again_when_it_is_new(self):
+    async def test_keys_are_rejected_while_the_freshness_check_is_too_old(self):
         # The store stops answering, so a removal of a key would go unnoticed. After the bound less
         # a margin, the host must reject requests with a key as not run, with 503 and not 401. A
         # public route is served throughout, and keys are accepted again once the store answers.
@@ -395,7 +395,7 @@
         await until(self.entry._ready, 8.0)
         self.assertEqual((await self.reply("/scan/x"))[0].status, 200)
 
-    async def test_key_taken_away_is_dead_within_the_bound(self):
+    async def test_removed_key_is_rejected_within_the_bound(self):
         self.site.configure(2, {"hall": ["key-new"], "yard": ["key-b"]})
         await until(lambda: self.entry._catalog.version == 2, 2.0)
         self.assertEqual((await self.reply("/scan/x"))[0].status, 401)
@@ -407,7 +407,7 @@
         self.site.store.faults.status = 503
         await asyncio.sleep(0.8)
         self.site.configure(5, {"hall": ["key-a"]})
-        self.site.store.forget_history()
+        self.site.store.discard_history()
         self.site.store.faults.status = 0
         await until(lambda: self.entry._catalog.version == 5, 4.0)
         await self.until_serving()
@@ -415,7 +415,7 @@
     async def test_lost_answer_of_a_plan_is_found_out(self):
         # The plan of a new group is written and the answer is lost. The owner must read the stored
         # plan before it continues; otherwise a host could be in two groups.
-        self.site.store.faults.lose_writes = 1
+        self.site.store.faults.unanswered_writes = 1
         await self.model_with_two_groups()
         plans = self.entry._plans.by_key.values()
         members = [i for p in plans for g in p.groups for i in g.members]
@@ -440,15 +440,15 @@
         await asyncio.sleep(1.6)
         for _ in range(4):
             _, reader = await self.reply("/read/x", "POST", model=model)
-            self.assert_whole_stream(reader)
+            self.assert_complete_stream(reader)
         size = {LARGE: 3, SMALL: 2}[model]
-        self.assertEqual({r.members_ready for r in self.site.engines.runs}, {size})
+        self.assertEqual({r.joined_members for r in self.site.engines.runs}, {size})
 
 
 class OwnerTest(SiteTest):
     entries = 2
 
-    async def test_groups_outlive_their_owner_and_the_next_one_mends_them(self):
+    async def test_next_owner_keeps_the_groups(self):
         # The entry host that owns the domain ends abruptly. When its lease has expired, the other
         # one must take over the domain with a higher term and keep the existing groups, and
         # requests are served in the meantime.
@@ -462,7 +462,7 @@
         await owner.kernel.stop()
         self.site.entries.remove(owner)
         _, reader = await self.reply("/read/x", "POST", model=SMALL)
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
 
         def held():
             (found,) = other._plans.by_key.values()
@@ -478,7 +478,7 @@
         # The stop signal arrives in the middle of a stream. The host must report not ready
         # immediately, still serve what the balancer sends with "Connection: close", and finish
         # once the stream has ended.
-        self.site.engines.pieces = 60
+        self.site.engines.events_per_stream = 60
         asked = asyncio.create_task(self.ask("/read/x", "POST", model=LARGE))
         await until(lambda: self.runs("request-1"))
         drained = asyncio.create_task(self.entry.front.drain())
@@ -487,12 +487,12 @@
         reply, _ = await self.reply("/scan/x")
         self.assertEqual((reply.status, reply.headers["Connection"]), (200, "close"))
         _, reader = await asked
-        self.assert_whole_stream(reader)
+        self.assert_complete_stream(reader)
         await asyncio.wait_for(drained, 8.0)
 
     async def test_connection_ends_with_a_stream_that_outlasts_the_closing_of_idle_ones(self):
         # The response head was sent before the stop signal, without "Connection: close".
-        self.site.engines.pieces = 60
+        self.site.engines.events_per_stream = 60
         patch = mock.patch.object(front, "STOP_LISTENING_AFTER", 0.3)
         patch.start()
         self.addCleanup(patch.stop)
@@ -564,7 +564,7 @@
 
 
 class DecodingTest(unittest.TestCase):
-    def test_signed_answer_that_names_no_request_is_another_ones(self):
+    def test_signed_answer_without_an_id_belongs_to_another_request(self):
         # A target sends a duplicate answer to a request without an id on a reused connection. If it
         # were taken for the answer to the next request, the caller would get another's answer.
         codec = HeaderCodec()
@@ -596,7 +596,7 @@
                 "X-Kept": "1",
             }
         )
-        sent = HeaderCodec().to_target(headers, "acme", "i-1", 1.5, 0, 7)
+        sent = HeaderCodec().target_request_headers(headers, "acme", "i-1", 1.5, 0, 7)
         self.assertEqual(sent["Tenant"], "acme")
         self.assertEqual(sent["Deadline-Ms"], "1500")
         self.assertEqual((sent["Last-Event-Id"], sent["Expect-Instance"]), ("7", "i-1"))
@@ -604,14 +604,14 @@
         for name in ("Authorization", "X-Hop", "Connection"):
             self.assertNotIn(name, sent)
 
-    def test_header_of_replies_that_nobody_reads_is_told_once_by_name(self):
+    def test_unknown_reply_header_is_reported_once_by_name(self):
         reported = []
         codec = HeaderCodec(lambda name, value: reported.append((name, value)))
         for value in ("1.2", "1.5"):
             codec.read_reply(200, HTTPHeaders({"Response-Seal": "s", "In-Need": value}))
         self.assertEqual(reported, [("In-Need", "1.2")])
 
-    def test_targets_that_send_ever_new_headers_fill_no_memory(self):
+    def test_number_of_remembered_header_names_is_bounded(self):
         reported = []
         codec = HeaderCodec(lambda name, value: reported.append(name))
         for number in range(3 * MAX_UNKNOWN_NAMES):
