--- a/src/oleanderhill/clients/compression.py
+++ b/src/oleanderhill/clients/compression.py
@@ -12,7 +12,7 @@
 """Bytes above which data is compressed; smaller messages gain little."""
 
 COMPRESSION_LEVEL = 1
-"""The fastest zlib level: compression uses CPU time of the host that all peers ask."""
+"""The fastest zlib level, as one host compresses the store content for all its peers."""
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 """Maximum size of a decompressed message."""
--- a/src/oleanderhill/clients/httpcall.py
+++ b/src/oleanderhill/clients/httpcall.py
@@ -255,7 +255,7 @@
             headers["Connection"] = "close"
         start = RequestStartLine(request.method, request.path, "HTTP/1.1")
         # The future of the write is not awaited: if a server answers early and closes the
-        # connection, the write fails although the reply is there to be read.
+        # connection, the write fails although the reply can still be read.
         connection.write_headers(start, headers, request.body or None)
         connection.finish()
         return bool(await connection.read_response(collector))
--- a/src/oleanderhill/clients/keyed.py
+++ b/src/oleanderhill/clients/keyed.py
@@ -20,7 +20,7 @@
     """Decoded values by key, each at its newest revision.
 
     After the store is restored from a backup, values that this process had already read are
-    retained until they are written again or ``lost_last`` has passed.
+    retained until they are written again or ``retain_missing_s`` has passed.
 
     :param decode: returns a value, or raises ``ValueError`` for one that is malformed
     :param is_newer: returns whether the held value is newer than one read from a later generation
@@ -74,9 +74,10 @@
     def change(self, key: str, value: bytes | None, revision: Revision, now: float) -> bool:
         """Apply one change; return whether it is new to this host or to peers that read from it.
 
-        A write of this host is held as soon as the store answers it, but peers first receive it
-        with the read that returns it. Treated as known, it would never reach them: in one run, six
-        of eight entry hosts sent no requests to the groups of two of six fabric domains.
+        This host holds a value that it wrote as soon as the store answers the write, whereas peers
+        receive it only with the read that returns it. The value therefore counts as new in that
+        read. Otherwise it would never be relayed; without this rule, six of eight entry hosts sent
+        no requests to the groups of two of six fabric domains.
         """
         del now
         if value is None:
--- a/src/oleanderhill/clients/mirror.py
+++ b/src/oleanderhill/clients/mirror.py
@@ -33,8 +33,8 @@
 the store, so faster reads let it serve sooner."""
 
 FAST_POLL_DURATION = 0.65
-"""Seconds of fast reads after the latest significant change. With 2 s, two runs of a day of steady
-losses made 720 and 744 calls instead of 663 to 692, without earning more."""
+"""Seconds of fast reads after the latest significant change. With 2 s, a day of steady host losses
+takes 720 to 744 store calls instead of 663 to 692, without a benefit."""
 
 RETRY_INTERVAL = 0.3
 """Maximum seconds before a failed read is retried; the minimum is half of it."""
@@ -86,8 +86,8 @@
     """Reads the store or a peer periodically and passes the changes to the callbacks.
 
     :param on_applied: called once after each read is applied, with the current time
-    :param on_uncertain: called before a read is applied whose missing entries may reappear, with
-        the time until which they may
+    :param on_uncertain: called after an outage or a restore of the store, before the next read is
+        applied, with the time until which entries missing from it may reappear
     :param entry_return: seconds within which hosts write their entries again after an outage or a
         restore of the store
     :ivar restored: number of times that the store was restored from a backup
@@ -141,7 +141,7 @@
         return self.age(now) <= MAX_AGE_FOR_ORDERS
 
     async def wait_for_changes(self, after: Revision | None, max_wait: float) -> ReadResult | None:
-        """Return the changes that a peer lacks, once there are some or this host has read again.
+        """Wait until there are changes for a peer or this host has read again, and return them.
 
         :param after: the revision that the peer has, ``None`` if it has no content
         :return: ``None`` if nothing was read or verified within ``max_wait`` seconds, or if the
@@ -152,8 +152,8 @@
                 async with asyncio.timeout(max_wait):
                     await self._read_applied.wait()
             except TimeoutError:
-                # A store that is about to drop its history delays each read by a second. While its
-                # freshness checks succeed, the peers need not read it too.
+                # A store that is about to drop its history delays each read by a second. While this
+                # host's freshness checks succeed, its peers need not read the store themselves.
                 if self._freshness.age(boottime_seconds()) > max_wait:
                     return None
         return self._reading_after(after)
--- a/src/oleanderhill/clients/relay.py
+++ b/src/oleanderhill/clients/relay.py
@@ -35,7 +35,8 @@
 from .store_reads import ReadResult
 
 MAX_WAIT = POLL_INTERVAL + 0.2
-"""Seconds for which a request waits for changes: one read of the store and a slow answer."""
+"""Seconds for which a request waits for changes: one poll interval, and an allowance for a slow
+answer of the store."""
 
 REPLY_TIMEOUT = MAX_WAIT + 0.25
 """Seconds that a peer waits for a reply before it reads the store itself. A change must be in force
@@ -55,7 +56,8 @@
     :param check_age: seconds since the content was verified to be the newest
     :param read_age: seconds since the store was asked
     :param uncertain_s: seconds for which missing entries may still reappear
-    :param settle_s: seconds after the start of a generation in which freshness checks are ignored
+    :param settle_s: seconds for which freshness checks are ignored if this read is the first one of
+        a generation
     """
 
     revision: Revision
@@ -209,10 +211,10 @@
     def _encode_changes(self, since: Revision | None, reading: ReadResult) -> bytes:
         """Return the encoded changes of a read, cached for all peers at the same revision.
 
-        At the first start all hosts change concurrently. When their changes were encoded for each
-        of 20 peers and sent uncompressed, replies were late and the peers read the store: 4,079
-        times on a day with 62 entry hosts, against 948 with this cache, compression and fewer
-        calls to an unavailable store.
+        At the first start all hosts change concurrently. If their changes are encoded for each of
+        20 peers and sent uncompressed, replies are late and the peers read the store instead. On a
+        day with 62 entry hosts that caused 4,079 reads, against 948 with this cache, compression
+        and fewer calls to an unavailable store.
         """
         if self._encoded_changes[0] != reading.revision:
             self._encoded_changes = (reading.revision, {})
--- a/src/oleanderhill/clients/store.py
+++ b/src/oleanderhill/clients/store.py
@@ -58,7 +58,7 @@
         return await self._list(f"/v1/kv/{quote(prefix)}?recurse=true", CALL_TIMEOUT)
 
     async def watch(self, prefix: str, index: int) -> Result[Listing, StoreError]:
-        """Wait until a key under a prefix changes after ``index``, or the wait times out."""
+        """Return all values under a prefix, once one changes after ``index`` or the wait ends."""
         query = f"?recurse=true&index={index}&wait={int(WATCH_WAIT)}s"
         return await self._list(f"/v1/kv/{quote(prefix)}{query}", WATCH_WAIT + CALL_TIMEOUT)
 
--- a/src/oleanderhill/clients/store_reads.py
+++ b/src/oleanderhill/clients/store_reads.py
@@ -15,16 +15,16 @@
 from .storage import Change, Changes, GenerationEndedError, HistoryLostError, Revision, Storage
 
 MISSED_CHANGES_WINDOW = 1.3
-"""Seconds of changes that a read may miss: before it drops its history, the store may send watchers
-nothing for a second. The time at which a read verifies its content is set back by this, unless a
-freshness check showed that the configuration is unchanged."""
+"""Seconds of changes that a read may miss: before the store drops its history, it may send watchers
+nothing for a second. A read therefore verifies its content only as of this long before the read,
+unless a freshness check showed that the configuration is unchanged."""
 
 CHECK_INTERVAL = 0.6
 """Minimum seconds between two freshness checks, each of which is a billed call."""
 
 WATCH_GRACE_PERIOD = 0.3
-"""Seconds that a watch may still take after a freshness check found a change: a store whose watches
-work answers within a few ms, or after waiting 0.2 s for changes."""
+"""Seconds to wait for a watch after a freshness check found a change. A store whose watches work
+answers within a few ms, or within 0.2 s if it holds the call open to wait for changes."""
 
 RESTORE_SETTLE_TIME = 1.0
 """Seconds after a restore of the store from a backup in which its content isn't trusted as the
@@ -43,7 +43,8 @@
     :param verified_at: time at which this content was verified to be the newest
     :param read_at: time at which the store was asked
     :param uncertain_s: seconds for which missing entries may still reappear
-    :param settle_s: seconds after the start of a generation in which freshness checks are ignored
+    :param settle_s: seconds for which freshness checks are ignored if this read is the first one of
+        a generation
     """
 
     revision: Revision
@@ -127,8 +128,8 @@
             return await self._read_full(boottime_seconds())
         if not is_successful(found) and isinstance(found.failure(), StoreConnectionClosedError):
             # A store that drops its history closes its watches, and reports the lost history on the
-            # next call. Other readers have no newer content: if this one waited for them, all
-            # hosts would get no read until their freshness check expired, and would reject
+            # next call. Peers have no newer content: if this host read from them instead, no host
+            # would read the store until the freshness checks expired, and all would reject
             # requests.
             found = await self._storage.changes(after)
         if is_successful(found):
--- a/src/oleanderhill/clients/targets.py
+++ b/src/oleanderhill/clients/targets.py
@@ -101,7 +101,7 @@
         await self._caller.call(Call(address, "POST", f"/cancel/{run_id}", timeout=PROBE_TIMEOUT))
 
     async def hosts(self, data_centre: str, index: int) -> Result[HostList, OleanderhillError]:
-        """Wait for the host list of a data centre to change after ``index``."""
+        """Return a data centre's host list, once it changes after ``index`` or the wait ends."""
         path = f"/v1/hosts?dc={data_centre}&index={index}&wait={int(WATCH_WAIT)}s"
         call = Call(self._platform, "GET", path, timeout=WATCH_WAIT + 2.0, reuse=True)
         reply = (await self._caller.call(call)).alt(_unreachable(self._platform))
--- a/src/oleanderhill/clock.py
+++ b/src/oleanderhill/clock.py
@@ -7,10 +7,10 @@
 
 
 def boottime_seconds() -> float:
-    """Return seconds on a steady clock that also runs while the machine is suspended.
+    """Return seconds on a monotonic clock that also runs while the host is suspended.
 
-    Use it to measure the age of cached information. The monotonic clock stops during a suspension,
-    so a host that resumes would treat outdated information as fresh and act on it.
+    Use it to measure the age of cached information. :func:`time.monotonic` stops during a
+    suspension, so a host that resumes would treat outdated information as fresh and act on it.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/src/oleanderhill/domains/host_reports.py
+++ b/src/oleanderhill/domains/host_reports.py
@@ -56,7 +56,7 @@
             self.empty_since.pop(host, None)
 
     def expect_load(self, host: str, now: float) -> None:
-        """Don't treat a host as empty while a load order may be in flight to it."""
+        """Record that a load order may be in flight to a host, so it doesn't count as empty."""
         self._load_arrives_by[host] = now + owners.ORDER_SEND_TIMEOUT
         self.empty_since.pop(host, None)
 
--- a/src/oleanderhill/domains/ledger.py
+++ b/src/oleanderhill/domains/ledger.py
@@ -11,7 +11,8 @@
 from ..types import DomainLedger, GroupPhase, GroupRecord, GroupSpec, Member
 
 EPOCH_SHIFT = 20
-"""Low bits of a group epoch, which count changes under one owner; the owner epoch is above."""
+"""Number of low bits of a group epoch, which count the changes under one owner; the bits above hold
+the owner epoch."""
 
 
 class LedgerRuleError(OleanderhillError):
@@ -51,7 +52,7 @@
 
 
 def with_members(ledger: DomainLedger, group: str, members: tuple[Member, ...]) -> DomainLedger:
-    """Return the ledger with new members of a group, or new boots of the same, at a new epoch."""
+    """Return the ledger with a group at a new epoch, with other members or new boots of its own."""
     spec = _get(ledger, group).spec
     return _add_group(without_group(ledger, group), group, spec, members)
 
@@ -69,7 +70,7 @@
 
 
 def ordering_key(ledger: DomainLedger) -> tuple[int, int]:
-    """Return the key that orders the values of a ledger: owner epoch, then version."""
+    """Return the sort key by which a newer ledger value is greater: owner epoch, then version."""
     return ledger.owner_epoch, ledger.version
 
 
--- a/src/oleanderhill/domains/order_log.py
+++ b/src/oleanderhill/domains/order_log.py
@@ -8,7 +8,7 @@
 from .orders import OrderKey
 
 SENT_RETENTION = 30.0
-"""Seconds for which the send time of an order is kept; much longer than the resend interval."""
+"""Seconds for which the send time of an order is retained; much longer than the resend interval."""
 
 TICKET_RETRY_DELAY = 1.0
 """Seconds after which an unanswered ticket request is repeated."""
@@ -50,7 +50,7 @@
         return True
 
     def clear_sent(self) -> None:
-        """Clear the send times, which date from before this take-over."""
+        """Clear the send times, which are those of an earlier ownership, after a take-over."""
         self._sent_at = {}
 
     def prune(self, ledger: DomainLedger, now: float) -> None:
--- a/src/oleanderhill/domains/orders.py
+++ b/src/oleanderhill/domains/orders.py
@@ -45,6 +45,8 @@
 ) -> list[DueOrder]:
     """Return the orders to send now, unloads first.
 
+    A host without a fresh report, or missing from the platform's list, gets no order.
+
     :param sent_at_by_key: when each order was last sent
     """
     assignment_by_host = _assignment_by_host(ledger)
@@ -62,7 +64,7 @@
 
 
 def order_key(order: Order) -> OrderKey:
-    """Return the key under which the send time of an order is kept."""
+    """Return the key under which the send time of an order is recorded."""
     return OrderKey(order.kind, order.host, order.group, order.epoch)
 
 
@@ -79,7 +81,7 @@
 
 
 def _unload(host: str, entry: HostEntry, seen: TimedReport) -> list[DueOrder]:
-    """Return the order that empties a host which belongs to no group."""
+    """Return the order that empties a host assigned to no group, none if it is already empty."""
     report = seen.report
     if report.state == EngineState.EMPTY:
         return []
--- a/src/oleanderhill/domains/placement.py
+++ b/src/oleanderhill/domains/placement.py
@@ -1,9 +1,9 @@
 """Placement and repair in one fabric domain, as pure functions of its ledger and reports.
 
-:func:`decide` compares the wanted groups with the ledger and the host reports and returns the
-few :data:`Action` values to apply to the ledger. By the operators' exchange rate it weighs
-waiting for a lost member, replacing it with a spare and dissolving a group that can't be made
-complete. ``docs/design/placement.md`` compares the alternatives.
+:func:`decide` compares the wanted groups with the ledger and the host reports and returns
+:data:`Action` values to apply to the ledger. For a group with a lost member it chooses between
+waiting for the member, replacing it with a spare and dissolving the group, by the operators'
+exchange rate. ``docs/design/placement.md`` compares the alternatives.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     """The operators' parameters of repair.
 
     :param exchange_rate: stranded host-seconds that cost as much as one group-second of downtime
-    :param grace: seconds a silent member gets before it is replaced
+    :param grace: seconds a silent member gets, beyond the evidence age, before it is replaced
     """
 
     exchange_rate: float = 8.0
@@ -95,7 +95,8 @@
     :param wanted: groups that the plan assigns to this domain
     :param entry_by_host: the platform's list of hosts in this domain
     :param empty_since: since when each host has reported, in its current boot, that it is empty
-    :param broken_since: when each incomplete group was last observed to be complete, or formed
+    :param broken_since: when each group was last observed to be complete, without a leaving or
+        draining member, or first observed
     :param draining_since: when each draining group started to drain
     """
 
@@ -193,10 +194,12 @@
 
 
 def _retire_unwanted(s: Situation, record: GroupRecord, busy: bool) -> list[Action]:
-    """Drain or dissolve an unwanted group without dropping below the wanted complete groups.
+    """Return the action that retires an unwanted group, if it can be retired now.
 
-    A group of another version under the same name serves until its successor is complete. It is
-    drained earlier, one group at a time, only if the free hosts don't suffice for a successor.
+    A group whose successor is wanted (a group of the same name with another specification) serves
+    until enough successors are complete, so that the number of complete groups doesn't drop below
+    the wanted number. It is drained earlier, one group at a time, only if the free hosts don't
+    suffice for a successor.
 
     :param busy: another group is already drained or dissolved in this round
     """
--- a/src/oleanderhill/domains/planner.py
+++ b/src/oleanderhill/domains/planner.py
@@ -64,10 +64,10 @@
 
 
 def relocation_delay(exchange_rate: float) -> float:
-    """Return seconds before a group leaves a domain that is short of hosts.
+    """Return the relocation delay: seconds before a group leaves a domain that is short of hosts.
 
-    The delay is short where downtime is expensive. A move costs a load of weights and hosts of
-    another domain, which is not worth saving cheap downtime.
+    The delay is short where downtime is expensive. A move costs a load of weights and uses hosts of
+    another domain, which is not worthwhile if downtime is cheap.
     """
     return min(RELOCATION_DELAY_MAX, RELOCATION_DELAY_BASE * 8.0 / max(exchange_rate, 0.1))
 
@@ -83,9 +83,10 @@
     """Return the next plan, or ``current`` itself if nothing changes.
 
     Complete groups are placed first, then the others, each by priority and name. A group stays in
-    its current domain while that can hold it. Otherwise it moves to the domain with the least
-    sufficient free capacity (best fit leaves space for large groups). Ties are broken by rendezvous
-    hash.
+    its current domain while the remaining hosts there suffice for it, and otherwise until the
+    domain has been short of hosts for the relocation delay. It then moves to the domain with the
+    least sufficient free capacity (best fit leaves space for large groups), with ties broken by
+    rendezvous hash, or stays if no domain has enough.
 
     :param complete_groups: complete groups; a domain that lost a few hosts keeps these
     """
--- a/src/oleanderhill/domains/planning.py
+++ b/src/oleanderhill/domains/planning.py
@@ -117,7 +117,7 @@
             self._decisions.note("plan", self._data_centre, text)
 
     def wanted(self) -> tuple[WantedGroup, ...]:
-        """Return the groups that the settings want in this data centre."""
+        """Return the groups that the settings request in this data centre."""
         return self._fleet.wanted_by_data_centre.get(self._data_centre, ())
 
     def _publish_plan(self) -> None:
--- a/src/oleanderhill/domains/steward.py
+++ b/src/oleanderhill/domains/steward.py
@@ -59,7 +59,8 @@
 """Seconds between confirmations of ownership while orders are due."""
 
 STORE_RETRY_DELAY = 1.0
-"""Seconds before a failed store call is retried; grows with each further failure."""
+"""Seconds before a failed store call is retried, multiplied by the number of consecutive failures,
+up to five seconds."""
 
 RETAKE_DELAY = 30.0
 """Seconds before a displaced owner tries to take over again; doubles each time it is displaced."""
@@ -133,7 +134,7 @@
         return []
 
     def release_ownership(self) -> None:
-        """Give up the domain for good; another entry host takes over once this one has left."""
+        """Give up the domain permanently; another entry host takes over once this one has left."""
         self.ownership_state = owners.after_loss(self.ownership_state)
         self._next_take_over = float("inf")
 
@@ -202,7 +203,7 @@
     # Ownership
 
     def _try_take_over(self, now: float) -> list[Effect]:
-        """Start a take-over if membership suggests this host and the owner sends no evidence."""
+        """Start a take-over if this host should own the domain and no owner sends evidence."""
         if not self.settled or not owners.should_own(
             self.domain, self.me, self.incarnation_by_host
         ):
@@ -255,7 +256,8 @@
         ours = found.owner == self.me and found.write_id == self._write_id()
         if ours and self._take_over_attempts:
             return self._apply_take_over(found, now)
-        # A live owner keeps its domain: rebalancing would suspend repairs for the take-over wait.
+        # A live owner keeps its domain even if another host should own it by the hash: during the
+        # take-over wait no group would be repaired.
         if self._owner_is_active(found, now):
             self._next_take_over = now + IDLE_CONFIRM_INTERVAL
             return []
@@ -372,8 +374,8 @@
     def _notice_pause(self, now: float) -> None:
         """Restart the observation of hosts and groups after a pause of this process.
 
-        After a pause all reports are old and every member looks silent. Otherwise the owner would
-        repair every group as soon as it resumes.
+        After a pause all reports are old and every member looks silent. Without a new observation
+        period the owner would repair every group as soon as it resumes.
         """
         if self._last_tick is not None and now - self._last_tick > PAUSE_THRESHOLD:
             self._watching_since = now
@@ -384,7 +386,7 @@
         return now - self._watching_since > EVIDENCE_MAX_AGE
 
     def _update_timers(self, now: float) -> None:
-        """Update the times since which groups are incomplete or draining."""
+        """Update since when groups have not been accepting requests, or have been draining."""
         for view in self.views(now):
             if view.accepting or view.group not in self._broken_since:
                 self._broken_since[view.group] = now
--- a/src/oleanderhill/domains/stewards.py
+++ b/src/oleanderhill/domains/stewards.py
@@ -42,7 +42,7 @@
 VIEW_DOMAINS = 6
 """Domains of its own data centre about which an entry host receives evidence.
 
-Bounds the view of an entry host at any fleet size.
+The limit bounds the evidence that an entry host stores and receives, at any fleet size.
 """
 
 
@@ -251,9 +251,9 @@
         """Return the addresses of the entry hosts that receive evidence about a domain.
 
         An entry host of this data centre receives evidence about :data:`VIEW_DOMAINS` domains, one
-        of another data centre about :data:`REMOTE_VIEW_DOMAINS`, chosen by rendezvous hash, so that
-        views and their traffic don't grow with the fleet. Up to :data:`VIEW_DOMAINS` domains in
-        total, every entry host receives evidence about all of them.
+        of another data centre about :data:`REMOTE_VIEW_DOMAINS`, chosen by rendezvous hash, so
+        that evidence and its traffic don't grow with the fleet. If this data centre has at most
+        :data:`VIEW_DOMAINS` domains, every entry host receives evidence about all of them.
         """
         members = self.kernel.find("membership", MembershipTask)
         domains = list(self.by_domain)
--- a/src/oleanderhill/entry.py
+++ b/src/oleanderhill/entry.py
@@ -1,4 +1,7 @@
-"""Builds an entry host from its boot file, runs it and drains it."""
+"""Builds an entry host from its boot file, runs it and drains it.
+
+:mod:`.platform.entry` is the counterpart that runs on the users' platform.
+"""
 
 from __future__ import annotations
 
--- a/src/oleanderhill/groups/actions.py
+++ b/src/oleanderhill/groups/actions.py
@@ -17,7 +17,10 @@
 
 
 class Warm(NamedTuple):
-    """Order a free host to join a group of its own, which makes its next join faster."""
+    """Order a free host to join a group of which it is the only member, to speed up its next join.
+
+    See :meth:`.spares.Spares.warm_up`.
+    """
 
     group: PlannedGroup
     instance: Instance
@@ -57,7 +60,12 @@
 
 
 class OrderOutcome(StrEnum):
-    """Outcome of an order."""
+    """Outcome of an order: carried out, or the reason why it was not.
+
+    ``UNFIT``: the host's state does not allow the order. ``FENCED``: the host knows a later term
+    or epoch. ``GONE``: another incarnation or host answers at the address. ``SILENT``: no usable
+    answer.
+    """
 
     DONE = "done"
     UNFIT = "unfit"
--- a/src/oleanderhill/groups/composing.py
+++ b/src/oleanderhill/groups/composing.py
@@ -4,6 +4,8 @@
 groups are formed only of hosts that have the weights, and loads are ordered in advance for the next
 groups that the free hosts can form together. Otherwise free hosts would end up as parts of several
 groups, none of which can be completed because the others have different weights.
+
+In this package, "a group of 16" is a group of 16 hosts.
 """
 
 from __future__ import annotations
@@ -18,23 +20,27 @@
 
 LOAD_PENALTY = 1.2
 """Penalty on the rank of a group if all of its hosts need a load, proportionally less if fewer do.
-A load takes about as long as the interval between losses. A group of 16 that lacks two hosts is
-nearly complete; with a penalty per load as high as for half of a group of 4, its hosts were used
-for small groups instead."""
+A load takes about as long as the interval between losses. The penalty depends on the fraction, not
+the number, of loads: a group of 16 that lacks two hosts is nearly complete, but when its two loads
+counted as much as two in a group of 4, its hosts were used for small groups instead."""
 
 SPARE_FRACTION = 0.12
 """Fraction of a domain's hosts that is kept free as spares: two of nine, five of 37."""
 
 
 UNDERSUPPLY_RATIO = 1.25
-"""Ratio of groups to groups filled by load below which a model is undersupplied. At this ratio four
-fifths of its slots are in use, and the first request that meets a busy group has to wait."""
+"""A model is undersupplied if it has fewer groups than this multiple of the number of groups that
+its current requests fill. At this ratio four fifths of its slots are in use, and the first request
+that reaches a busy group has to wait."""
 
 
 class ModelNeed(NamedTuple):
-    """A model and its demand, as seen by one domain.
+    """A model and its demand, from the viewpoint of one domain.
 
-    :param need: its share of all groups, from current load and a part of the expected load
+    :param hosts: number of hosts in each of its groups
+    :param need: demand in groups over all domains, from current load and a part of the expected
+        load
+    :param load_seconds: time to load its weights from the weight store
     :param filled: number of its groups, over all domains, that the requests of the last seconds
         fill
     :param elsewhere: mean number of its groups per other domain
@@ -86,7 +92,10 @@
     desired: Composition,
     needs: Sequence[ModelNeed],
 ) -> ModelNeed | None:
-    """Return the model to form a group for now: the least supplied one relative to its need.
+    """Return the model for which to form a group now, or ``None`` if no group should be formed.
+
+    Of the models that have enough hosts with the weights, it is the least supplied one relative to
+    its need.
 
     :param staged: number of free hosts that have the weights, by model
     :param free: number of hosts in no group
@@ -107,13 +116,13 @@
 def _may_form(plan: DomainPlan, need: ModelNeed, free: int, desired: Composition) -> bool:
     """Return whether a group for a model may be formed of the free hosts.
 
-    Spares replace lost members of existing groups. When any five free hosts could be turned into
-    another small group, none was left when a group of 16 lost a member, and none of the five such
-    groups that broke in a day recovered while requests arrived. Spares are used only to reach the
-    desired number of groups, or for a model whose groups are nearly full. Expected load alone is
-    not sufficient: while a model's groups were only half full, the spares of nine domains went
-    into more of them, and of 15 groups of 32 that lost a member one after the other none was formed
-    again for lack of one host.
+    Spares replace lost members of existing groups, so they are used for a new group only to reach
+    the desired number of groups, or for a model whose groups are nearly full. Without this rule any
+    five free hosts could form another small group, and no spare was left when a group of 16 lost a
+    member: none of the five groups of 16 that lost one in a day recovered while requests arrived.
+    Expected load alone is no reason to use spares: the spares of nine domains were used for groups
+    of a model whose groups were only half full. 15 groups of 32 then lost a member one after the
+    other, and none was formed again, for lack of one host.
     """
     if need.need <= 0 or need.hosts > free:
         return False
@@ -128,12 +137,15 @@
 ) -> dict[str, Counter[str]]:
     """Return how many groups of each model each domain should form initially.
 
-    Owners do not coordinate; each computes the same result from the same list. Of two strategies,
-    the one with the better supply for the worst supplied model is used. Distributed one by one,
-    small groups spread over all domains and leave no domain with enough hosts for a large one: of
-    five domains of 19 hosts only one got a group of 16, although three groups were the share of
-    that model, and nine in ten of its requests were rejected. Placed by size, large groups get
-    domains of their own and small ones the remaining hosts.
+    Owners do not coordinate; each computes the same result from the same list. Two strategies are
+    compared, and the one that gives the worst supplied model more groups for its need is used:
+
+    - Distributing groups one by one to the least supplied model. Small groups may then spread over
+      all domains and leave none with enough hosts for a large group: of five domains of 19 hosts
+      only one got a group of 16, although the model needed three, and nine in ten of its requests
+      were rejected.
+    - Placing groups by size. Large groups then get domains of their own, and small groups the
+      remaining hosts.
     """
     open_needs = [n for n in needs if n.need > 0]
     distributed = _Allocation(hosts_by_domain)
@@ -202,7 +214,7 @@
 def next_initial_model(
     plan: DomainPlan, initial: Mapping[str, int], free: int, needs: Sequence[ModelNeed]
 ) -> ModelNeed | None:
-    """Return the largest model of which the plan still lacks initial groups."""
+    """Return the largest model that still lacks initial groups and for which free hosts suffice."""
     held = Counter(g.model for g in plan.groups)
     lacking = [n for n in needs if held[n.model] < initial.get(n.model, 0) and n.hosts <= free]
     return max(lacking, key=lambda n: n.hosts, default=None)
@@ -241,7 +253,10 @@
     desired: Composition,
     needs: Sequence[ModelNeed],
 ) -> ModelNeed | None:
-    """Return the model for which the free hosts should form the next group."""
+    """Return the model for which the free hosts should form the next group.
+
+    Unlike :func:`next_model`, it also considers models whose weights must be loaded first.
+    """
 
     def rank(need: ModelNeed) -> float:
         loads = max(0, need.hosts - staged.get(need.model, 0))
--- a/src/oleanderhill/groups/forming.py
+++ b/src/oleanderhill/groups/forming.py
@@ -1,13 +1,13 @@
 """Decisions of a domain's owner: which groups to form, open, repair and dissolve.
 
 :class:`DomainKeeper` performs no I/O: it reads the plan and the state that hosts report, and
-    returns actions. It maintains these invariants, whatever the order of events:
+returns actions. It maintains these invariants, whatever the order of events:
 
 - A head is ordered to open only when every member has reported ready under this group and epoch.
 - A host is assigned to another group only after it has left its previous one: it reported so
-  itself, or its newest entry lists no group. It is safe even if the old head still serves, for
-  example because it is partitioned from this entry host and open to others: requests in a group
-  without all members stall, and the head then breaks the group itself.
+  itself, or its newest entry lists no group. This is safe even if the old head still accepts
+  requests, for example because it is partitioned from this entry host but not from others: in a
+  group without all members requests stall, and the head then breaks up the group itself.
 """
 
 from __future__ import annotations
@@ -60,11 +60,16 @@
 failed and is still listed, another host answers at its address, or it carries out orders late."""
 
 FORM_TIMEOUT = 12.0
-"""Seconds beyond its load time that a group may take to form before its hosts are reassigned."""
+"""Seconds, in addition to twice the load time of its model, that a group may take to form before
+its hosts are reassigned."""
 
 
 class Fault(StrEnum):
-    """Reason to dissolve a group."""
+    """Reason to dissolve a group.
+
+    ``MEMBER_GONE``: a member is no longer listed. ``MEMBER_OUT``: after the group was complete, a
+    listed member reports another group or none. ``BROKEN``: a member reports the group as broken.
+    """
 
     DISSOLVING = "being broken up"
     MEMBER_SILENT = "member silent"
@@ -76,7 +81,7 @@
 
 
 class DomainKeeper:
-    """Decides the actions for one domain."""
+    """Decides the actions of the owner of one domain."""
 
     def __init__(self, pacer: LoadPacer) -> None:
         self.pacer = pacer
@@ -131,9 +136,9 @@
         """Return the actions to take now.
 
         :param host_by_instance: the listed hosts of the domain
-        :param initial: number of groups of each model to form, of any hosts, while loads are fast
-            and not rate-limited; empty while the host list is incomplete; ``None`` once loads are
-            rate-limited
+        :param initial: number of groups of each model to form at the first start, when loads are
+            fast and not rate-limited and hosts need not have the weights yet; empty while the host
+            list is incomplete; ``None`` once loads are rate-limited
         :param restarted: members whose hosts have since restarted and have therefore left their
             groups
         """
--- a/src/oleanderhill/groups/inventory.py
+++ b/src/oleanderhill/groups/inventory.py
@@ -128,7 +128,7 @@
         instance = host.instance
         if instance.born < self._newest_born.get(instance.name, 0):
             return PutResult(False, None, None)
-        # Move the name to the end, so that the names not seen for the longest time come first.
+        # Move the name to the end, so that the names not updated for the longest time come first.
         self._newest_born.pop(instance.name, None)
         self._newest_born[instance.name] = instance.born
         self._evict_oldest_name()
@@ -202,7 +202,10 @@
         return Removal(instance, address, True)
 
     def replace(self, hosts: Iterable[TargetHost], now: float) -> list[Removal]:
-        """Replace the list and return the incarnations that are gone."""
+        """Replace the list and return the incarnations that are gone.
+
+        Hosts missing from the new list stay listed during the grace period after a store outage.
+        """
         found = list(hosts)
         listed = {h.instance.name for h in found}
         missing = [n for n in self._instance_by_name if n not in listed]
--- a/src/oleanderhill/groups/owner.py
+++ b/src/oleanderhill/groups/owner.py
@@ -30,8 +30,8 @@
 from .probing import ProbeRounds, count_unanswered
 
 SETTLE_SECONDS = 1.5
-"""Seconds after the store recovers in which no domain is taken over: leases may have expired in the
-meantime, and their live holders need time to become present again."""
+"""Seconds after the store recovers in which no domain that has a plan is taken over: leases may
+have expired during the outage, and their live holders need time to become present again."""
 
 LIST_SETTLED_AFTER = 0.8
 """Seconds without a new host after which the list counts as complete at the first start. 54 hosts
@@ -40,8 +40,8 @@
 WRITE_RETRY_SECONDS = 0.6
 """Seconds until a domain is processed again after a failed write: about one reading of the store,
 which shows whether the write took effect. Without this delay an owner whose store rejected calls
-immediately wrote every 20 ms until its copy was too old: 61 times, each with its cost and a log
-line."""
+immediately wrote every 20 ms until its copy of the store was too old: 61 writes, each of which
+cost resources and a log line."""
 
 REFRESH_DELAY = 0.02
 """Seconds between an update and the refresh that it triggers, so that updates that arrive together
@@ -68,8 +68,8 @@
 class LoadLimits(NamedTuple):
     """Limits that the owner enforces.
 
-    :param load_window: seconds in which ``load_factor`` times the allowed rate of loads, plus
-        ``load_extra``, may begin
+    In any window of ``load_window`` seconds, the number of loads that begin may be at most
+    ``load_factor`` times the number at the configured rate, plus ``load_extra``.
     """
 
     load_window: float
@@ -82,7 +82,7 @@
 
     :param first_loads_free: returns whether loads are still exempt from the rate limit
     :param is_suspect: returns whether this or another entry host observed a group to stall
-    :param demand: returns a model's share of all groups
+    :param demand: returns a model's demand in groups (see :class:`.composing.ModelNeed`)
     :param filled: returns how many of a model's groups its current requests fill
     """
 
@@ -154,8 +154,10 @@
         self._refresh_duration = time.monotonic() - began
 
     async def stop(self) -> None:
-        """Cancel the running work and then the next refresh, which the cancellation may
-        schedule."""
+        """Cancel the running work, then the next refresh.
+
+        The refresh is cancelled last, because the cancelled work may schedule one.
+        """
         await super().stop()
         if self._next_refresh is not None:
             self._next_refresh.cancel()
@@ -285,7 +287,7 @@
         return LoadPacer(per_window, limits.load_window, domains, max_concurrent)
 
     def _model_needs(self, domain: str, catalog: Catalog, services: set[str]) -> list[ModelNeed]:
-        """Return the demand for the models of the services that have hosts in a domain."""
+        """Return the models of the services that have hosts in a domain, with their demand."""
         others = [p for p in self._plans.by_key.values() if p.domain != domain]
         planned = Counter(g.model for p in others for g in p.groups)
         shapes = [s for n in sorted(services) if (s := catalog.service_by_name.get(n)) is not None]
--- a/src/oleanderhill/groups/ownership.py
+++ b/src/oleanderhill/groups/ownership.py
@@ -54,9 +54,12 @@
 def rank_by_strength(key: str, presences: Iterable[Presence], count: int = 1) -> tuple[str, ...]:
     """Return the entry hosts to use for a role, in order of preference, strong machines first.
 
-    A role that serves many hosts needs a strong machine: after a power failure all neighbours of a
-    reader request the full content from it concurrently, and reject their callers until they
-    receive it.
+    A role that serves many hosts needs a strong machine: after a power failure all entry hosts
+    that poll a reader request the full content from it concurrently, and reject their callers
+    until they receive it.
+
+    :param key: name of the role, hashed to rank machines of similar strength
+    :param count: maximum number of names to return
     """
     found = list(presences)
     threshold = STRONG_FRACTION * max((p.strength for p in found), default=0.0)
--- a/src/oleanderhill/groups/pacing.py
+++ b/src/oleanderhill/groups/pacing.py
@@ -37,8 +37,9 @@
     def share_among(self, domains: int) -> None:
         """Set the number of domains that share the limit. The number never decreases.
 
-        At the first start domains appear one after the other. An owner that had seen only the first
-        domain used the whole limit for it, and kept ordering six loads at once.
+        At the first start domains appear one after the other. When the number was fixed at that of
+        the first reading, the owner of the first domain used the whole limit for it and kept
+        ordering six concurrent loads.
         """
         domains = max(1, domains)
         if domains <= self._domains:
--- a/src/oleanderhill/groups/plans.py
+++ b/src/oleanderhill/groups/plans.py
@@ -2,7 +2,8 @@
 
 A plan is one value under one key of the store and changes only by compare-and-swap, so two owners
 cannot assign a host to two groups. A group is added to the plan before the first host is ordered to
-join, and is removed only after its head is known to have stopped serving.
+join. It is removed only after all members that can be contacted have left it, all members have
+restarted, or none has been listed for some time (see :mod:`.forming`).
 """
 
 from __future__ import annotations
--- a/src/oleanderhill/groups/readers.py
+++ b/src/oleanderhill/groups/readers.py
@@ -28,7 +28,7 @@
 within three seconds and is then replaced."""
 
 AVOID_EMPTY_SECONDS = 1.0
-"""Seconds for which a reader that cannot read the store itself is not asked."""
+"""Seconds for which a peer that answered that it has no copy of the store's data is not asked."""
 
 AVOID_STORE_SECONDS = 2.0
 """Seconds for which a host that can ask peers does not call a failed store. Rejected calls cost
@@ -36,21 +36,21 @@
 recovers."""
 
 STORE_FIRST_SECONDS = 0.3
-"""Seconds after a peer failed to answer in which the store is tried first. The wait for the peer
-has used most of the time within which a change must take effect. A reader whose main reader is
-frozen reports after 0.85 s that it has no reading; asking the frozen one next would take another
-1.1 s, out of 2 s."""
+"""Seconds after a peer failed to answer in which the store is tried first. A change must take
+effect within 2 s, and the wait for the peer has used much of that. If the main reader is frozen, a
+local reader reports only after 0.85 s that it has no reading; asking the main reader next would
+take another 1.1 s."""
 
 
 def reader_of(data_centre: str, alive: Mapping[str, Presence]) -> Presence | None:
-    """Return the entry host that reads the store for a data centre."""
+    """Return the local reader of a data centre, which may also be the main reader."""
     local = [p for p in alive.values() if p.data_centre == data_centre]
     names = rank_by_strength(f"reader/{data_centre}", local)
     return alive[names[0]] if names else None
 
 
 def main_reader(alive: Mapping[str, Presence]) -> Presence | None:
-    """Return the entry host that reads the store for all: the reader of one data centre."""
+    """Return the entry host that reads the store for all: the local reader of one data centre."""
     data_centres = rendezvous("main reader", {p.data_centre for p in alive.values()})
     return reader_of(data_centres[0], alive) if data_centres else None
 
@@ -58,9 +58,10 @@
 def peers_to_ask(me: Presence, alive: Mapping[str, Presence]) -> list[Presence]:
     """Return the peers to ask, in order.
 
-    The first is the reader of the host's data centre or, for that reader itself, the main reader.
-    The second is a reader in another data centre, for a host that the store rejects: the main
-    reader, or another one if the main reader is in the same data centre.
+    A local reader asks only the main reader. Any other host asks the local reader of its data
+    centre first and then, in case the store rejects it too, a reader in another data centre: the
+    main reader, or another one if the main reader is in the same data centre. The main reader asks
+    the local reader of another data centre.
     """
     own, main = reader_of(me.data_centre, alive), main_reader(alive)
     data_centres = sorted({p.data_centre for p in alive.values()} - {me.data_centre})
@@ -132,7 +133,7 @@
         ]
 
     def failed(self, source: Source, error: StoreError, now: float) -> None:
-        """Record that a source did not answer."""
+        """Record that a source failed, so that it is avoided for a while."""
         if source is self._store:
             seconds = AVOID_STORE_SECONDS
         else:
--- a/src/oleanderhill/groups/serving_groups.py
+++ b/src/oleanderhill/groups/serving_groups.py
@@ -34,9 +34,9 @@
 
 
 def _serving_head(domain: str, group: PlannedGroup, inventory: Inventory) -> TargetHost | None:
-    # Only hosts of the plan's domain count as members. A host that now reports another domain is
-    # also missing for the owner of this domain. If it counted, its failure would go unnoticed,
-    # because the cached results for a domain are kept until the hosts of that domain change.
+    # Only hosts of the plan's domain count as members, as for the owner of the domain. If a host
+    # that now reports another domain counted, its failure would go unnoticed, because the cached
+    # results for a domain are recomputed only when the hosts of that domain change.
     hosts = inventory.in_domain(domain)
     head = hosts.get(group.head)
     if head is None or head.leaving or head.membership is None:
--- a/src/oleanderhill/groups/spares.py
+++ b/src/oleanderhill/groups/spares.py
@@ -25,7 +25,10 @@
 
 
 class Spares:
-    """Tracks the weights and the warm models of one domain's hosts.
+    """Tracks which weights one domain's hosts are loading, and for which models they are warm.
+
+    A host is warm for a model if its last group served that model; it then joins a group faster
+    (see :meth:`warm_up`).
 
     A load takes many seconds. Done in advance, it lets a group that loses a host be complete again
     within two seconds; done while the group forms, it would block all its other hosts.
@@ -51,9 +54,10 @@
     def ended(self, order: Stage, end: OrderOutcome, now: float) -> None:
         """Record the outcome of an order to load.
 
-        An order that started no load must not count as a running load. It blocked the only
-        concurrent load that a domain may have for three times the load time: a group that lacked
-        one host stayed incomplete for 19 s, with two free hosts without weights beside it.
+        An order that started no load must not count as a running load. When it did, it used up the
+        only concurrent load that the domain was allowed for three times the load time: a group
+        that lacked one host stayed incomplete for 19 s, although two hosts without weights were
+        free.
         """
         if end != OrderOutcome.DONE:
             self._loading.pop(order.instance, None)
@@ -83,7 +87,7 @@
         }
 
     def as_free(self, host: TargetHost, now: float) -> FreeHost:
-        """Describe a free host together with the weights that it has or is loading."""
+        """Return a free host with the model whose weights it has or is loading."""
         loading = self._loading.get(host.instance)
         weights = loading[0] if loading else host.staged[0] if host.staged else ""
         available = now >= self._load_again_at.get(host.instance, 0.0)
@@ -107,12 +111,13 @@
         return orders
 
     def warm_up(self, now: float, plan: DomainPlan, free: Sequence[TargetHost]) -> list[Warm]:
-        """Return an order for a spare to join a group of its own, which is never opened.
+        """Return at most one order for a spare to join a group of which it is the only member.
 
-        It then leaves, as any host does whose group is not planned. A host joins in 0.2 s if its
-        last group served the same model, and in 1.1 to 1.6 s if it only has the weights: a third of
-        the time until a group that lost a member is complete again. Spares warm up one at a time,
-        because a host that is warming up cannot be assigned to a group.
+        The group is not in the plan and is never opened; the spare is then ordered to leave it, as
+        any host in an unplanned group is. A host joins in 0.2 s if its last group served the same
+        model, and in 1.1 to 1.6 s if it only has the weights, which is a third of the time until a
+        group that lost a member is complete again. Spares warm up one at a time, because a host
+        that is warming up cannot be assigned to a group.
         """
         if self._warming:
             return []
--- a/src/oleanderhill/journal/claims.py
+++ b/src/oleanderhill/journal/claims.py
@@ -1,9 +1,9 @@
 """The task that runs the journal of non-idempotent requests (:mod:`.once`).
 
 The *home* of a shard is one of the live entry hosts of a data centre, selected by rendezvous hash.
-It appends for all of them, so that one store write covers many claims. The home only saves writes:
-while it is unreachable, entry hosts append directly, and the create-only batches of the journal
-still ensure that each key is claimed once.
+It appends for all of them, so that one store write covers many claims. The home only reduces the
+number of writes and is not needed for correctness: while it is unreachable, entry hosts append
+directly, and the create-only batches of the journal still ensure that each key is claimed once.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
         return row, decided
 
     def finish(self, row: Row) -> None:
-        """Record the end of a granted claim with a row of kind done or release."""
+        """Record the end of a claim with a row of kind done or release."""
         shard = once.shard_of(row.key)
         home = self._home_address(shard)
         if home is not None:
@@ -140,8 +140,8 @@
                 return await future
         except TimeoutError:
             self._perform(shard, journal.withdraw(row.nonce))
-            # The home may have recorded the claim, with its answer lost. The caller receives
-            # "not run", so the key must be free for its retry.
+            # The home may have recorded the claim although its answer did not arrive. The caller
+            # receives "not run", so the key must be free for its retry.
             self.finish(row._replace(kind=RowKind.RELEASE))
             return Decided(row.nonce, Verdict.UNAVAILABLE)
         finally:
--- a/src/oleanderhill/journal/once.py
+++ b/src/oleanderhill/journal/once.py
@@ -40,6 +40,8 @@
     :param body: hash of the request's method, path and body
     :param nonce: random id that identifies the claim if it is sent twice
     :param at: wall-clock time of the claim in seconds, used only in the answer to a repeated key
+    :param status: HTTP status of the answer, in a row of kind done
+    :param answer: body of the answer, empty if it is not stored
     """
 
     kind: RowKind
@@ -55,8 +57,8 @@
 class Batch(NamedTuple):
     """The rows of one store write.
 
-    :param write_id: hash of the rows' nonces and kinds; identifies a host's own batch after a lost
-        answer
+    :param write_id: hash of the rows' nonces and kinds, by which a host recognises its own batch if
+        the answer of the store was lost
     """
 
     write_id: str
@@ -74,7 +76,7 @@
 
 
 class Decided(NamedTuple):
-    """The decision on a claim; ``row`` is the row that conflicts with it."""
+    """Effect: the decision on a claim; ``row`` is the recorded row that conflicts with it."""
 
     nonce: bytes
     verdict: Verdict
@@ -181,7 +183,7 @@
         return self._advance()
 
     def note(self, row: Row) -> list[Effect]:
-        """Record the end of a granted claim: done, or released because it did not run."""
+        """Record the end of a claim: done, or released because its request did not run."""
         self._closing_rows.append(row)
         return self._advance()
 
@@ -226,7 +228,7 @@
         return self._reject_waiting()
 
     def retry(self) -> list[Effect]:
-        """Continue after a failure; called periodically by the driver."""
+        """Return the effects that continue after a failure; called periodically by the driver."""
         if self._reading:
             return []
         if self._pending_batch is not None:
@@ -277,8 +279,8 @@
         """Apply one row to the keys; return whether it is a granted claim."""
         held = self.by_key.get(row.key)
         if row.kind == RowKind.CLAIM:
-            # The first claim in the log wins, for every reader. A later claim of the same key is
-            # void although it was written, as its writer reads the log in the same order.
+            # The first claim in the log wins. All hosts read the log in the same order, so they
+            # agree that a later claim of the same key is void, although it was written.
             if held is not None:
                 return held.nonce == row.nonce and held.kind == RowKind.CLAIM
             self.by_key[row.key] = row
--- a/src/oleanderhill/kernel.py
+++ b/src/oleanderhill/kernel.py
@@ -55,10 +55,10 @@
 
 
 class LoopLag:
-    """Records by how many seconds the timers of the event loop fire late, and keeps the maximum.
+    """Records the delay of event loop timers, in seconds, and keeps the maximum.
 
-    The existing timers of the tasks are measured. A separate watchdog would wake each process about
-    twenty times a second for the same information.
+    Tasks report the delay of their own timers. A separate watchdog timer would wake each process
+    about twenty times a second for the same information.
     """
 
     def __init__(self) -> None:
@@ -98,7 +98,7 @@
         return service
 
     def post(self, name: str, message: Any) -> None:
-        """Put a message into a task's inbox. Without such a task it is dropped, as by a network."""
+        """Put a message into a task's inbox, or drop it if there is no task of this name."""
         service = self._by_name.get(name)
         if isinstance(service, Task):
             service.put(message)
@@ -132,7 +132,7 @@
         self._running: set[asyncio.Task[None]] = set()
 
     def put(self, message: Any) -> None:
-        """Queue a message. A full inbox drops it: messages are repeated or refreshed anyway."""
+        """Queue a message, or drop it if the inbox is full: senders repeat or refresh messages."""
         if not self._inbox.full():
             self._inbox.put_nowait(message)
 
--- a/src/oleanderhill/limits/accounts.py
+++ b/src/oleanderhill/limits/accounts.py
@@ -1,9 +1,9 @@
 """Rate limits of client accounts, enforced across entry hosts without a store call per request.
 
 Every entry host keeps a token bucket for each account, filled at its *share* of the account's rate.
-Shares follow demand, which the entry hosts send each other once a second. The entry hosts divide
-the rate times the fraction of the fleet that they can see. The sides of a partition see disjoint
-parts of the fleet, so the sum of all shares stays within the limit.
+Shares follow demand: once a second, each entry host sends its own to some of the others. The entry
+hosts divide the rate times the live fraction of the deployed fleet. The sides of a partition count
+disjoint parts of the fleet as live, so the sum of all shares stays within the limit.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 """Weight of the previous value in the moving average of demand, per second."""
 
 IDLE_SHARE = 0.1
-"""Fraction of the rate that is divided evenly, so that idle hosts admit a first request."""
+"""Fraction of the rate that is divided evenly among the live entry hosts, so that one without
+demand can admit a first request."""
 
 BURST_SECONDS = 2.0
 """Capacity of a bucket, in seconds of the host's share."""
@@ -72,7 +73,7 @@
         self._demand_by_peer: dict[str, Mapping[str, float]] = {}
 
     def configure(self, rate_by_account: Mapping[str, float]) -> None:
-        """Set the requests a second of each account; remaining accounts keep their buckets."""
+        """Set the rate of each account; accounts that are not removed keep their buckets."""
         self._rate_by_account = dict(rate_by_account)
         for account in set(self._bucket_by_account) - set(self._rate_by_account):
             del self._bucket_by_account[account]
@@ -103,7 +104,7 @@
         return divisible_rate * (IDLE_SHARE * even_fraction + (1.0 - IDLE_SHARE) * demand_fraction)
 
     def tick(self, live_peers: frozenset[str]) -> Demand:
-        """Update the demand, once a second; return it for the peers.
+        """Update this host's demand and return it, to be sent to peers. Called once a second.
 
         :param live_peers: the other entry hosts that are live
         """
--- a/src/oleanderhill/limits/limiting.py
+++ b/src/oleanderhill/limits/limiting.py
@@ -15,8 +15,9 @@
 DEMAND_FANOUT = 2
 """Peers that are sent the demand each second, round-robin.
 
-Sending it to all would cost 50 KB/s among 105 hosts. In turn, 9 hosts receive each other's demand
-every 4 seconds and 105 hosts every 52; until then they divide by the latest received.
+Sending it to all would cost 50 KB/s among 105 hosts. Round-robin, each host receives the demand of
+each other host every 4 seconds among 9 hosts, and every 52 seconds among 105. In between, it
+divides the rate by the demand that it received last.
 """
 
 
--- a/src/oleanderhill/members/membership.py
+++ b/src/oleanderhill/members/membership.py
@@ -16,13 +16,13 @@
 GOSSIP_INTERVAL = 1.0
 FANOUT = 2
 ROWS_PER_MESSAGE = 3
-"""Full rows in one message, about 55 bytes each; they introduce hosts to the receiver."""
+"""Full rows in one message, about 55 bytes each. A receiver learns of new hosts from them."""
 
 HEARTBEATS_PER_MESSAGE = 32
-"""Heartbeats in one message, about 16 bytes each; they keep known hosts live.
+"""Heartbeats in one message, about 16 bytes each. They show that known hosts are still live.
 
-Two messages a second take at most 1.3 KB/s, whatever the size of the data centre; the time after
-which a silent host is suspected grows instead.
+Two messages a second take at most 1.3 KB/s in a data centre of any size. In a large one, silent
+hosts are suspected later instead (:meth:`Membership.suspect_after`).
 """
 
 REMOTE_CONTACTS = 9
@@ -43,7 +43,7 @@
 
 
 class PeerState(StrEnum):
-    """State of a peer as seen by this entry host."""
+    """State of a peer in the view of this entry host."""
 
     LIVE = "live"
     SUSPECT = "suspect"
@@ -72,7 +72,8 @@
 class Heartbeat(NamedTuple):
     """The heartbeat of a host, for receivers that have its row.
 
-    :param tag: lowest 16 bits of the incarnation; the heartbeat of another one is ignored
+    :param tag: lowest 16 bits of the incarnation; a heartbeat whose tag differs from the row's is
+        ignored
     """
 
     host: str
@@ -138,7 +139,7 @@
         return now_live
 
     def leave(self) -> list[Send]:
-        """Return the leave messages, for more peers than usual because they are the last."""
+        """Mark this host as left; return its last messages, addressed to more peers than usual."""
         self.me = self.me._replace(left=True, heartbeat=self.me.heartbeat + 1)
         message = Gossip((self.me,))
         addresses = [k.row.address for k in self.by_host.values() if not k.row.left]
@@ -176,7 +177,7 @@
         return now - self._started_at > 2 * GOSSIP_INTERVAL + 0.5
 
     def _refute(self, row: Row) -> None:
-        """Raise the own incarnation above a row that claims a later one or that this host left."""
+        """Raise the own incarnation above that of a row that is newer or marks this host left."""
         newer = row.incarnation > self.me.incarnation
         if newer or (row.incarnation == self.me.incarnation and row.left and not self.me.left):
             self.me = self.me._replace(incarnation=row.incarnation + 1)
@@ -255,9 +256,9 @@
     def _pick_heartbeats(self) -> tuple[Heartbeat, ...]:
         """Return the heartbeats that were forwarded least since they increased, newest first.
 
-        A heartbeat is new to most hosts at first and to few after some rounds. With a random
-        choice, most of a message would be outdated, and live hosts of a large data centre would
-        be suspected.
+        At first a heartbeat is new to most hosts, and after some rounds of gossip only to a few.
+        With a random choice, most heartbeats in a message would already be known to the receiver,
+        and live hosts of a large data centre would be suspected.
         """
         known = [k for h, k in self.by_host.items() if not k.row.left]
         known.sort(key=lambda k: (self._heartbeat_sends.get(k.row.host, 0), -k.heartbeat_at))
--- a/src/oleanderhill/metrics.py
+++ b/src/oleanderhill/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """Counters, gauges and timings, named by a common prefix and this host's name.
+    """Counters, gauges and timings, whose names start with a common prefix and this host's name.
 
     :param address: ``ip:port`` of the statsd server, ``None`` to send nothing
     """
--- a/src/oleanderhill/operators/cli.py
+++ b/src/oleanderhill/operators/cli.py
@@ -260,7 +260,10 @@
 
 
 def _get_from_all(at: str, path: str) -> list[dict[str, Any]]:
-    """Send a GET to every address. Unreachable ones are marked, unless all are unreachable."""
+    """Send a GET to every address and return the answers; unreachable ones are marked.
+
+    :raises UnreachableError: if all are unreachable
+    """
     answers: list[dict[str, Any]] = []
     failures = 0
     for address in _addresses(at):
--- a/src/oleanderhill/operators/server.py
+++ b/src/oleanderhill/operators/server.py
@@ -77,7 +77,7 @@
         return find_by_key(boot, key)
 
     def status(self) -> dict[str, Any]:
-        """Return the state that this entry host knows, and its age."""
+        """Return the status of this entry host and its view of the others, with ages."""
         return {
             "host": self.decisions.host,
             "edge": self._edge_status(),
--- a/src/oleanderhill/outcomes.py
+++ b/src/oleanderhill/outcomes.py
@@ -129,7 +129,10 @@
 
 
 def held_back(seconds: float, ran: Ran) -> Problem:
-    """Return the problem of a suspected crash-causing request, which runs once at a time."""
+    """Return the problem of a suspected crash-causing request, which is tried once at a time.
+
+    :param seconds: seconds after which a retry may succeed
+    """
     detail = "targets ended while they ran this request; it is tried once at a time"
     return Problem(HELD_BACK, 503, ran, detail, seconds)
 
@@ -140,7 +143,7 @@
 
 
 def duplicate_unknown() -> Problem:
-    """Return the problem of a duplicate key whose first run has no recorded outcome."""
+    """Return the problem of a key that was claimed before and has no recorded outcome."""
     return Problem(
         "duplicate", 409, Ran.UNKNOWN, "the key was claimed before; its outcome is not known"
     )
--- a/src/oleanderhill/platform/decoding.py
+++ b/src/oleanderhill/platform/decoding.py
@@ -39,7 +39,7 @@
 _ADDRESS = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}")
 
 _DEFAULT_TIMEOUT_MS = 60_000
-"""Timeout in milliseconds of a route that sets none; the product's own interface uses the same."""
+"""Timeout in milliseconds of a route that sets none; oleanderhill's own interface has the same."""
 
 
 class _WeightedService(msgspec.Struct):
--- a/src/oleanderhill/platform/entry.py
+++ b/src/oleanderhill/platform/entry.py
@@ -1,4 +1,7 @@
-"""Assembles an entry host on the platform, runs it and drains it."""
+"""Assembles an entry host on the users' platform, runs it and drains it.
+
+:mod:`..entry` is the counterpart that uses oleanderhill's own interfaces and a boot file.
+"""
 
 from __future__ import annotations
 
--- a/src/oleanderhill/platform/headers.py
+++ b/src/oleanderhill/platform/headers.py
@@ -171,7 +171,10 @@
 
 
 def stated_limit(headers: HTTPHeaders) -> StatedLimit | None:
-    """Return the lowest rate limit that a reply states, or ``None`` if it states none."""
+    """Return the lowest rate limit that a reply states, or ``None`` if it states none.
+
+    A limit that can't be parsed has the rate ``None`` and counts as the lowest.
+    """
     named = [part for value in headers.get_list(LIMIT) for part in value.split(",")]
     return min(map(_parse_limit, named), key=lambda n: n.rate or 0.0, default=None)
 
--- a/src/oleanderhill/platform/host_list.py
+++ b/src/oleanderhill/platform/host_list.py
@@ -115,7 +115,11 @@
         return True
 
     def finish_read(self, now: float) -> None:
-        """Drop the hosts whose entries are missing for too long, and log what changed."""
+        """Apply the expired grace periods, and log the changes since the last call.
+
+        Hosts whose entries are missing for too long are dropped. A backup's entries that were not
+        rewritten in time are applied.
+        """
         for removal in self._inventory.expire(now):
             self._handle_removal(removal)
         if self._backup_by_name and now >= self._trust_backup_at:
--- a/src/oleanderhill/platform/orders.py
+++ b/src/oleanderhill/platform/orders.py
@@ -146,6 +146,6 @@
         try:
             return decode_report(found.unwrap().body) in (None, instance.born)
         except ValueError:
-            # A host with a malformed report is running. Whether it serves shows in the requests of
-            # its group.
+            # A malformed report still shows that the host is running. Whether it serves is detected
+            # by the requests of its group.
             return True
--- a/src/oleanderhill/platform/settings.py
+++ b/src/oleanderhill/platform/settings.py
@@ -59,7 +59,7 @@
     :param callers: ``ip:port`` on which requests of callers are served
     :param readiness_address: ``ip:port`` on which readiness probes of the load balancer are
         answered
-    :param peers: ``ip:port`` on which datagrams of other entry hosts are received
+    :param peers: ``ip:port`` for other entry hosts: gossip over UDP, relayed store reads over HTTP
     :param store: ``ip:port`` of the store
     :param first_start: whether this is the first start of the whole deployment
     :param grace_seconds: time between the stop signal and the forced end of the process
--- a/src/oleanderhill/platform/store.py
+++ b/src/oleanderhill/platform/store.py
@@ -89,8 +89,8 @@
 
     :param address: ``ip:port`` of the store
     :ivar calls_by_kind: number of calls by kind
-    :ivar generation: highest generation seen in a reply, 0 for none; the store increments it each
-        time it is restored from a backup
+    :ivar generation: highest generation received in a reply, 0 for none; the store increments it
+        each time it is restored from a backup
     """
 
     def __init__(self, address: str, caller: HttpCaller, records: Records) -> None:
--- a/src/oleanderhill/requests/attempts.py
+++ b/src/oleanderhill/requests/attempts.py
@@ -20,7 +20,7 @@
 
 
 class Phase(StrEnum):
-    """State of a request."""
+    """Phase of a request, from its arrival to its final answer."""
 
     CHOOSING = "choosing"
     CONNECTING = "connecting"
@@ -260,7 +260,7 @@
         return Ran.UNKNOWN if self.sent or self.maybe_ran else Ran.NO
 
     def may_retry_elsewhere(self, now: float) -> bool:
-        """Return whether the request may leave a target that seems stuck for another one."""
+        """Return whether the request may move from a stalled target to another one."""
         if self.phase == Phase.DONE or self._attempts_exhausted(now):
             return False
         repeatable = self.request.idempotent or not self.sent
@@ -269,7 +269,8 @@
     def _attempts_exhausted(self, now: float) -> bool:
         """Return whether no further attempt is allowed.
 
-        An attempt that sent nothing reached no target and doesn't count towards ``max_attempts``.
+        An attempt that sent nothing counts towards :data:`MAX_ATTEMPTS`, but not towards the
+        request's ``max_attempts``, as it reached no target.
         """
         if self.attempt >= MAX_ATTEMPTS or now >= self.request.deadline:
             return True
@@ -298,8 +299,9 @@
     def _on_attempt_lost(self, reason: str, now: float) -> list[Effect]:
         if not self.sent:
             return self._retry_unstarted(reason, now)
-        # Bytes were sent and no answer came, so a retry could run the request twice, such as pay a
-        # bill twice. The caller is told immediately that the outcome is unknown, and can decide.
+        # Bytes were sent and no answer came, so a retry could run the request twice, for example
+        # pay a bill twice. The caller immediately gets the status "unknown" and can decide whether
+        # to retry.
         if not self.request.idempotent:
             return self._fail(outcomes.interrupted(Ran.UNKNOWN, reason))
         self.maybe_ran = True
--- a/src/oleanderhill/requests/exchange.py
+++ b/src/oleanderhill/requests/exchange.py
@@ -156,7 +156,7 @@
 
     @property
     def machine(self) -> RequestMachine:
-        """Return the state machine, from which the journal learns how the request ended."""
+        """Return the state machine, whose execution status is recorded in the journal."""
         return self._machine
 
     @property
@@ -165,7 +165,7 @@
         return self._outgoing.forward_server_errors
 
     def on_caller_disconnected(self) -> None:
-        """Handle that the caller closed its connection."""
+        """Abort the request: the caller closed its connection."""
         self._events.put_nowait(attempts.CallerDisconnected())
 
     async def run(self) -> None:
@@ -186,7 +186,7 @@
                 self._select_task.cancel()
 
     async def _next_event(self) -> Event:
-        """Return the next event, or a loss as soon as the attempt stalls."""
+        """Return the next event, or a :class:`~.attempts.Lost` event if the attempt stalls."""
         while True:
             try:
                 async with asyncio.timeout(0.25):
@@ -342,7 +342,7 @@
     # Called by _AttemptObserver.
 
     def begin_sending(self, number: int, choice: Choice) -> bool:
-        """Return whether the bytes of an attempt may be sent now, and record that they are."""
+        """Return whether an attempt may be sent now; if so, record that sending begins."""
         machine = self._machine
         if machine.phase != attempts.Phase.CONNECTING or machine.attempt != number:
             return False
--- a/src/oleanderhill/requests/handlers.py
+++ b/src/oleanderhill/requests/handlers.py
@@ -232,8 +232,8 @@
         """Claim a key, waiting briefly for the outcome of the first request to be recorded.
 
         The first request is answered before its outcome is recorded in the store. Without the wait,
-        a duplicate in that interval would be answered "in progress", although its caller may
-        already have the answer.
+        a duplicate that arrives between the two would be answered "in progress", although its
+        caller may already have the answer.
         """
         until = time.monotonic() + RECORD_TIMEOUT
         while True:
--- a/src/oleanderhill/requests/identity.py
+++ b/src/oleanderhill/requests/identity.py
@@ -1,9 +1,9 @@
 """Identity of a request across retries.
 
-A caller gives each retry a new request id, so ids can't be used to recognise a retry. How a target
-fares under a request depends on what is asked and for which client account: method, host, path,
-account and body. Headers are left out because they differ between retries (timeout, last event id,
-shared parts of a prompt). The body is compared byte by byte, including white space.
+A caller gives each retry a new request id, so ids can't be used to recognise a retry. Whether a
+request crashes a target depends on its method, host, path, client account and body, so these form
+its identity. Headers are left out because they differ between retries (timeout, last event id,
+shared parts of a prompt). Bodies are the same only if all bytes are, including white space.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 """Length of an identity. Among a million requests, two collide with a probability of 1e-27."""
 
 _KEY = b"oleanderhill request identity"
-"""Separates identities from other hashes of the same bodies. It is not secret: whoever can read
-peer messages and guesses a complete body can check the guess."""
+"""Makes identities differ from other hashes of the same bodies. It is not secret: anyone who can
+read peer messages can check a guess of a complete body."""
 
 
 def identity(method: str, host: str, path: str, account: str, body: bytes) -> str:
-    """Return a hash of what a request asks, equal on all entry hosts and for all its retries.
+    """Return a hash of a request's content, equal on all entry hosts and for all its retries.
 
     Each part is hashed with its length, so that different splits of the same bytes give different
-    identities. Neither the body nor the key can be derived from the result, which is written to
-    logs and sent to peers.
+    identities. Neither the body nor the caller's key can be derived from the result, which is
+    written to logs and sent to peers.
     """
     digest = blake2b(digest_size=IDENTITY_BYTES, key=_KEY)
     for part in (method.encode(), host.lower().encode(), path.encode(), account.encode(), body):
--- a/src/oleanderhill/requests/quarantine.py
+++ b/src/oleanderhill/requests/quarantine.py
@@ -3,8 +3,8 @@
 The rules are those of :mod:`..routing.crashes`. At each tick, updates go to a few random peers,
 which pass them on, so the number of messages per host doesn't depend on the number of hosts. In a
 simulation with 2,200 entry hosts, a quarantine reaches all of them within 4.6 to 5.2 s (five
-seeds): an update counts as new for half a second of the quarantine's age, and is passed on after
-that only by the repeated full update.
+seeds). It takes this long because the updates of each tick contain a quarantine only during its
+first half second; after that only the periodic full updates pass it on.
 """
 
 from __future__ import annotations
--- a/src/oleanderhill/requests/sink.py
+++ b/src/oleanderhill/requests/sink.py
@@ -21,7 +21,7 @@
     """A request in flight."""
 
     def on_caller_disconnected(self) -> None:
-        """Handle that the caller closed its connection."""
+        """Abort the request: the caller closed its connection."""
 
 
 class AnsweringHandler(RequestHandler):
@@ -68,7 +68,7 @@
         handler = self._handler
         connection = handler.request.connection
         if self.streamed and connection is not None:
-            # After the head, RequestHandler.write() only adds a buffer and a copy.
+            # Once the headers are sent, RequestHandler.write() would only add a buffer and a copy.
             flushed = connection.write(chunk)
         else:
             self.streamed = True
--- a/src/oleanderhill/requests/stall.py
+++ b/src/oleanderhill/requests/stall.py
@@ -1,7 +1,7 @@
 """Stall detection for streams, relative to what the model's groups currently deliver.
 
 Under overload all groups slow down together, and aborting their streams would make it worse. A
-stream is stalled only when it is much slower than recent waits for the same model.
+stream counts as stalled only when it waits much longer than recent streams of the same model did.
 """
 
 from __future__ import annotations
--- a/src/oleanderhill/routing/backoffs.py
+++ b/src/oleanderhill/routing/backoffs.py
@@ -1,12 +1,13 @@
-"""Back-offs that targets request from this entry host, and the trial request after each.
+"""Back-offs, for which targets ask this entry host, and the trial request after each of them.
 
 A target that sheds load answers 503 with the number of seconds for which this host should send it
-nothing. Unlike a suspicion, which this host infers and drops when it proves wrong, the time comes
-from the target itself: nothing ends it early.
+nothing. A suspicion is inferred by this host and dropped when it proves wrong. A back-off is set by
+the target itself, so nothing ends it early except the end of the target's incarnation.
 
-A back-off binds only the host that was answered; the target may still serve other hosts. When it
-ends, one trial request checks whether the target accepts requests again, as in the half-open state
-of a circuit breaker. Sending all waiting requests at once would overload the target again.
+A back-off applies only to the entry host that received the answer; the target may still serve
+others. When it ends, one trial request checks whether the target accepts requests again, as in the
+half-open state of a circuit breaker. Sending all waiting requests immediately would overload the
+target again.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 class Backoffs:
     """Back-offs by target incarnation. Times are seconds of one monotonic clock.
 
-    :ivar asked: back-offs that targets requested or extended
-    :ivar held_back: times that a target was skipped because of its back-off
+    :ivar asked: number of times that a target started or extended a back-off
+    :ivar held_back: number of times that a target was skipped because of its back-off
     """
 
     def __init__(self) -> None:
@@ -35,7 +36,7 @@
         self.held_back = 0
 
     def extend(self, incarnation: str, seconds: float, now: float) -> bool:
-        """Record a back-off request of a target; return whether it extends the back-off."""
+        """Record that a target asked for a back-off; return whether it starts or extends one."""
         backoff = self._backoff_by_incarnation.get(incarnation)
         if backoff is None:
             backoff = self._backoff_by_incarnation[incarnation] = _Backoff(float("-inf"))
@@ -56,8 +57,9 @@
         return self.remaining(incarnation, now) <= 0.0
 
     def may_place(self, incarnation: str, now: float) -> bool:
-        """Return whether a request may be placed at a target; after a back-off, one trial at a
-        time.
+        """Return whether a request may be placed at a target.
+
+        After a back-off, only one trial request at a time may be placed.
         """
         backoff = self._backoff_by_incarnation.get(incarnation)
         return backoff is None or (backoff.until <= now and not backoff.on_trial)
@@ -100,7 +102,7 @@
     def seconds_to_first_end(self, incarnations: Collection[str], now: float) -> float | None:
         """Return the seconds until the first of some targets may be tried.
 
-        :return: ``None`` if at least one of them has no back-off
+        :return: ``None`` if there are no targets, or at least one of them has no back-off
         """
         if not incarnations or any(
             incarnation not in self._backoff_by_incarnation for incarnation in incarnations
--- a/src/oleanderhill/routing/completeness.py
+++ b/src/oleanderhill/routing/completeness.py
@@ -1,8 +1,8 @@
-"""Determines whether a group is complete: every member is present, in the boot that joined it.
+"""Determines whether a group is complete: all members are present and have not rebooted.
 
-Answering a probe is not enough. A host that failed and returned answers with an empty engine or
-with its old role. A group is complete only if every member reports the group, its epoch, its rank
-and the boot recorded in the ledger, in a report younger than :data:`EVIDENCE_MAX_AGE`.
+An answered probe is not enough. After a failure, a host may answer with an empty engine or with its
+old role. A group is complete only if every member is ready and reports the group, its epoch, its
+rank and the boot id recorded in the ledger, in a report younger than :data:`EVIDENCE_MAX_AGE`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from ..types import EngineState, GroupPhase, GroupRecord, GroupView, Member, TimedReport
 
 EVIDENCE_MAX_AGE = 2.0
-"""Seconds for which a report is valid. A group stops at most this long after a silent loss."""
+"""Seconds for which a report is valid. A group gets no new requests later than this after one of
+its members stops answering."""
 
 
 class MemberFault(StrEnum):
@@ -29,8 +30,11 @@
 class Verdict(NamedTuple):
     """Result of evaluating one group.
 
+    :param whole: whether the group is complete
     :param faults: fault by host, empty if the group is complete
-    :param oldest: sending time of the oldest probe used
+    :param oldest: local time for which the verdict holds: when the oldest probe used was sent, or
+        now if the group is incomplete
+    :param leaving: whether a member reports that it is leaving
     """
 
     complete: bool
@@ -80,8 +84,8 @@
         if seen is not None:
             oldest = min(oldest, seen.sent_at)
             leaving = leaving or seen.report.leaving
-    # A verdict of "incomplete" is dated now, however old the reports are. Dated back, it would
-    # lose against the earlier verdict of "complete".
+    # A verdict of "incomplete" is dated now, however old the reports are. With the time of the
+    # oldest report it would be ignored in favour of the earlier verdict of "complete".
     return Verdict(not faults, faults, now if faults else oldest, leaving)
 
 
--- a/src/oleanderhill/routing/crashes.py
+++ b/src/oleanderhill/routing/crashes.py
@@ -1,17 +1,21 @@
-"""Detects requests that crash the targets that run them (queries of death). Does no I/O.
+"""Detects crash-causing requests (queries of death): they crash each target that runs them.
+
+Does no I/O.
 
 When a target crashes, all requests that it was running are retried elsewhere. If one of them caused
-the crash, it crashes the next target too, for as long as it is sent again, under whatever id and
-through whichever entry host. Crashes are therefore recorded by the content of a request
+the crash, it crashes the next target too, for as long as it is sent again, under any id and through
+any entry host. Crashes are therefore recorded by the content of a request
 (:mod:`..requests.identity`) instead of its id, and against the request as well as the target.
 
-A crash counts only when the incarnation of the target is known to be over: its address refuses
-connections, or the host list says so. A lost connection alone does not count. A request is
-quarantined when it was in flight at :data:`MIN_CRASHES` crashes and those of them that no other
-suspect explains are :data:`MIN_LIKELIHOOD_RATIO` times less likely by chance, at the rate of
-crashes without it. A request that has since received a complete answer is cleared. Requests that
-were in flight at the same crashes cannot be told apart; none of them is quarantined until their
-crashes differ.
+A crash counts only when the incarnation of the target is known to have ended: its address refuses
+connections, or the host list says so. A lost connection alone does not count.
+
+A request is quarantined when it was in flight at :data:`MIN_CRASHES` crashes or more, and these are
+:data:`MIN_LIKELIHOOD_RATIO` times less likely by chance than if the request caused them. Chance is
+estimated from the rate of the crashes without the request, and crashes that another suspect
+explains are left out. At :data:`CERTAIN_CRASHES` crashes the likelihood no longer matters. Requests
+that were in flight at the same crashes cannot be distinguished; none of them is quarantined until
+their crashes differ. A request that has since received a complete answer is cleared.
 """
 
 from __future__ import annotations
@@ -28,7 +32,7 @@
 
 MIN_CRASHES = 3
 """Crashes with a request in flight that are required to quarantine it. When a whole data centre is
-lost, many requests see two by chance."""
+lost, many requests are in flight at two of its crashes by chance."""
 
 MIN_LIKELIHOOD_RATIO = 1_000_000
 """Factor by which the crashes must be less likely by chance than caused by the request."""
@@ -38,29 +42,32 @@
 network round trip."""
 
 RATE_WINDOW_LEAD = 1.0
-"""Seconds before the first crash with a request from which on other crashes count for the rate."""
+"""The rate of crashes without a request is measured from this many seconds before the first crash
+with it."""
 
 CERTAIN_CRASHES = 5
-"""Crashes that quarantine a request however many other crashes there were. A caller makes two tries
-at two targets, so a request that only ran beside others is in flight at four at most."""
+"""Crashes that quarantine a request however many other crashes there were. A caller sends a request
+twice, each time to two targets, so one that only ran beside a crash-causing request is in flight at
+four crashes at most."""
 
 CRASH_CONFIRMED_WITHIN = 15.0
-"""Seconds after a loss within which the incarnation must be known to be over. The list drops a host
-after three missed heartbeats, 3.6 s, and a store that was down shows it up to two seconds later."""
+"""Seconds after a loss within which the incarnation must be known to have ended. The host list
+drops a host after three missed heartbeats (3.6 s). After a store outage, the drop is visible up to
+two seconds later."""
 
 HOLD_SECONDS = 1.0
-"""Seconds after a loss for which a request with :data:`MIN_CRASHES` crashes waits for its next try.
-The result of that try reaches every host before the next one, and no other request accompanies it
-from crash to crash. With one try at a time, five crashes identify any culprit, and a harmless
-request loses one second."""
+"""Seconds that a request with :data:`MIN_CRASHES` crashes waits after a loss for its next attempt.
+The result of one attempt reaches every entry host before the next attempt, and no other request is
+in flight with it at all of its crashes. With one attempt at a time, five crashes identify any
+crash-causing request, and a harmless request is delayed by one second."""
 
 QUARANTINE_SECONDS = 600.0
 """Seconds for which a crash counts and a quarantined request is rejected: the longest lease of the
 store. After that, one more crash quarantines the request again."""
 
 SIGN_OF_LIFE_DELAY = 0.3
-"""Seconds after a loss from which on bytes from an incarnation prove that it is alive. Earlier ones
-may have been waiting in a socket when it crashed."""
+"""Seconds after a loss from which on bytes from an incarnation prove that it is alive. Bytes that
+are read earlier may have been waiting in a socket when it crashed."""
 
 MAX_CRASHES = 64
 MAX_IN_FLIGHT_PER_CRASH = 64
@@ -71,8 +78,8 @@
 """Bounds on the stored requests, however many arrive."""
 
 REPEAT_SECONDS = 0.5
-"""Seconds for which an update is included in every report, five times, so that the loss of one
-datagram loses no update."""
+"""Seconds for which an update is repeated, five times in all, so that no update is lost with one
+datagram."""
 
 RESEND_SECONDS = 10.0
 """Seconds for which crashes and clearings are also included in the periodic full updates, for peers
@@ -90,7 +97,7 @@
     """A request that is no longer sent to any target.
 
     :param age: seconds since it was quarantined
-    :param lives: incarnations of targets that crashed while running it
+    :param incarnations: incarnations of targets that crashed while running it
     """
 
     age: float
@@ -100,11 +107,14 @@
 class EndingNews(msgspec.Struct, omit_defaults=True, tag="endings"):
     """An update sent between entry hosts; applying it twice has no further effect.
 
-    :param endings: by incarnation, seconds since the loss, whether the incarnation is known to be
-        over, and the requests that were in flight, each with its run time in seconds
-    :param living: incarnations that some host lost and that showed a sign of life, with the age of
-        the sign
-    :param cleared: requests that received a complete answer after a loss, with its age
+    Ages and run times are in seconds.
+
+    :param endings: by incarnation: the age of the loss, whether the incarnation is known to have
+        ended, and the requests that were in flight with their run times
+    :param living: incarnations that showed a sign of life after a host recorded their loss, with
+        the age of the sign
+    :param cleared: requests that received a complete answer after a loss, with the age of the
+        answer
     """
 
     sender: str
@@ -115,7 +125,7 @@
 
 
 class _Crash:
-    """The loss of an incarnation, ``confirmed`` as a crash once it is known to be over."""
+    """The loss of an incarnation, ``confirmed`` as a crash once it is known to have ended."""
 
     def __init__(self, at: float) -> None:
         self.at = at
@@ -146,18 +156,18 @@
     # Local observations
 
     def lost(self, identity: str, incarnation: str, ran_for: float, now: float) -> bool:
-        """Record that a try was lost at an incarnation; return whether it is the first loss there.
+        """Record an attempt lost at an incarnation; return whether it is the first loss there.
 
-        :param ran_for: seconds for which the try had been running
+        :param ran_for: seconds for which the attempt had been running
         """
         new = incarnation not in self._crash_by_incarnation
         self._add_to_crash(incarnation, now, {identity: ran_for}, now)
         return new
 
     def confirm_ended(self, incarnation: str, now: float) -> list[str]:
-        """Record that an incarnation is over; return the requests that this quarantines.
+        """Record that an incarnation has ended; return the requests that this quarantines.
 
-        Without a recent loss it does not count as a crash, as targets may also stop as planned.
+        Without a recent loss this does not count as a crash, as a target may also stop as planned.
         """
         crash = self._crash_by_incarnation.get(incarnation)
         if crash is None or crash.confirmed or now - crash.at > CRASH_CONFIRMED_WITHIN:
@@ -169,7 +179,7 @@
     def record_sign_of_life(self, incarnation: str, now: float, asked: bool = False) -> bool:
         """Record a sign of life; return whether it cancels a recorded crash.
 
-        :param asked: whether it answers a probe that was sent after the loss
+        :param asked: whether the sign of life is the answer to a probe sent after the loss
         """
         crash = self._crash_by_incarnation.get(incarnation)
         if crash is None or (now - crash.at < SIGN_OF_LIFE_DELAY and not asked):
@@ -190,7 +200,7 @@
         return True, self._quarantine_suspects(now)
 
     def quarantine(self, identity: str, incarnations: tuple[str, ...], at: float) -> bool:
-        """Record that a request is quarantined; return whether it was not before.
+        """Record that a request is quarantined; return whether that is new.
 
         A clearing that is newer than the quarantine takes precedence.
         """
@@ -209,7 +219,7 @@
     ) -> list[str]:
         """Restore crashes from before the start of this process; return the requests quarantined.
 
-        Their times are not known any more, so they count as of now.
+        Their times are no longer known, so they are recorded with the current time.
 
         :param in_flight_by_incarnation: requests in flight at each crash, with their run times in
             seconds
@@ -269,7 +279,7 @@
         return sum(identity in c.in_flight for c in self._crash_by_incarnation.values())
 
     def hold(self, identity: str, now: float) -> float:
-        """Return the seconds that a request must wait before its next try, 0 for none."""
+        """Return the seconds that a request must wait before its next attempt, 0 for none."""
         lost = [c for c in self._crash_by_incarnation.values() if identity in c.in_flight]
         if sum(c.confirmed for c in lost) < MIN_CRASHES:
             return 0.0
@@ -277,7 +287,7 @@
 
     @property
     def sizes(self) -> tuple[int, int]:
-        """Return how many crashes and quarantined requests are stored."""
+        """Return the numbers of stored losses (confirmed or not) and quarantined requests."""
         return len(self._crash_by_incarnation), len(self._quarantined_at)
 
     # Updates between entry hosts
@@ -285,7 +295,8 @@
     def pending_updates(self, sender: str, now: float, again: bool) -> list[EndingNews]:
         """Return the updates to send to peers, each of which fits into a datagram.
 
-        :param again: whether to include what was sent before
+        :param again: whether to make a full update: all quarantined requests, and what else changed
+            in the last :data:`RESEND_SECONDS` instead of :data:`REPEAT_SECONDS`
         """
         within = RESEND_SECONDS if again else REPEAT_SECONDS
         due_crashes = [
@@ -437,7 +448,7 @@
     def _is_unlikely_by_chance(
         self, identity: str, unexplained: Mapping[str, _Crash], others: Set[str]
     ) -> bool:
-        """Return whether a request is unlikely to have been in flight at so many crashes by chance.
+        """Return whether chance is too unlikely an explanation of a request's crashes.
 
         Crashes that another suspect explains as well are not evidence against this request.
 
--- a/src/oleanderhill/routing/dispatch.py
+++ b/src/oleanderhill/routing/dispatch.py
@@ -27,11 +27,11 @@
 SELF_PROBE_INTERVAL = 0.6
 MAX_CONCURRENT_SELF_PROBES = 4
 GROUP_WAIT_TIMEOUT = 3.0
-"""Seconds that a request waits for a group to become complete before it is rejected."""
+"""Seconds after which a waiting request is rejected if no group is available."""
 
 
 class RouterTask(Task):
-    """Owns the router, the waiting queues in front of it and the watches of requests in flight."""
+    """Owns the router, each model's waiting queue and the watches of requests in flight."""
 
     name = "router"
     interval = TICK_SECONDS
@@ -63,7 +63,7 @@
     async def acquire(
         self, waiter: Waiter, wanted: Requirements, exclude: frozenset[str]
     ) -> Choice | NoChoice:
-        """Return a group for a request, waiting in the model's queue until one is available."""
+        """Return a group for a request or why there is none, after a wait if necessary."""
         queue = self._queue(wanted.model)
         result = self.router.choose(wanted, time.monotonic(), exclude)
         head = queue.next()
@@ -95,11 +95,11 @@
             )
 
     def watch(self, run: str, choice: Choice, broken: Callable[[], None]) -> None:
-        """Call ``broken`` when the group of a run in flight is no longer complete."""
+        """Call ``broken`` when the group of an attempt in flight is no longer complete."""
         self._watch_by_run[run] = (choice.group, choice.epoch, broken)
 
     def unwatch(self, run: str) -> None:
-        """Stop watching the group of a run."""
+        """Stop watching the group of an attempt."""
         self._watch_by_run.pop(run, None)
 
     async def _wait(
@@ -171,7 +171,7 @@
 
     @receive.register
     def _(self, body: DomainEvidence, envelope: PeerMessage) -> None:
-        # The planner gets the evidence of other owners in the same form as that of this host.
+        # The planner gets a peer's evidence in the same form as this host's own.
         self.kernel.post("planner", LocalEvidence(body, envelope.arrived))
         if self.book.receive(body, envelope):
             self.kernel.post("peers", SendTo(envelope.address, RecordsWanted(body.domain)))
@@ -210,7 +210,7 @@
         self.spawn(self._self_probe(evidence, record))
 
     async def _self_probe(self, evidence: Evidence, record: GroupRecord) -> None:
-        """Probe the members directly, as the domain's owner is gone or unreachable."""
+        """Probe the members directly, as the domain's owner may be gone or unreachable."""
         self._groups_being_probed.add(record.group)
         self.self_probes += len(record.members)
         sent_at = time.monotonic()
--- a/src/oleanderhill/routing/evidence.py
+++ b/src/oleanderhill/routing/evidence.py
@@ -1,7 +1,8 @@
 """Evidence about groups that this entry host does not own, from their owners and its own probes.
 
 The part of :class:`~.dispatch.RouterTask` without I/O: it turns messages into entries of the
-:class:`~.router.Router`, dated by when the facts held instead of when the messages arrived.
+:class:`~.router.Router`. An entry has the time at which the facts were observed, not the time at
+which the message arrived.
 """
 
 from __future__ import annotations
@@ -51,7 +52,7 @@
     def receive(self, body: DomainEvidence, envelope: PeerMessage) -> bool:
         """Apply a peer's evidence about a domain that it owns.
 
-        Return whether the domain's records are needed to read it.
+        Return whether the domain's records must be requested from the owner to interpret it.
         """
         self.owner_by_domain[body.domain] = envelope.sender
         self.received_at_by_domain[body.domain] = envelope.arrived
@@ -68,7 +69,8 @@
     def learn(self, body: DomainEvidence, sent_at: float) -> bool:
         """Apply evidence whose ages are relative to the local time ``sent_at``.
 
-        Return whether the records for its states are known.
+        Return whether the records that its states refer to are known. Evidence that is older than
+        the known records is ignored.
         """
         self._store_records(body)
         known = self.records_by_domain.get(body.domain)
@@ -82,8 +84,9 @@
         return True
 
     def to_probe(self, now: float) -> list[tuple[Evidence, GroupRecord]]:
-        """Return the groups with stale evidence and their records; drop those with expired
-        evidence.
+        """Return the groups with stale evidence, and their records.
+
+        Groups whose evidence is older than :data:`FORGET_AFTER` are dropped.
         """
         found = []
         for evidence in self.router.stale(now, SELF_PROBE_AFTER):
@@ -112,9 +115,10 @@
         self.router.learn(evidence._replace(view=view, verified_at=sent_at))
 
     def _store_records(self, body: DomainEvidence) -> None:
-        """Store the records of a domain if they are newer, compared by owner epoch first.
+        """Store the records of a domain if the message contains them and they are newer.
 
-        An owner that continued without saving may have reached a higher version than its successor.
+        The owner epoch is compared before the version, because an owner that continued without
+        saving may have reached a higher version than its successor.
         """
         if len(body.records) != len(body.states):
             return
--- a/src/oleanderhill/routing/messages.py
+++ b/src/oleanderhill/routing/messages.py
@@ -41,13 +41,15 @@
 
 
 class RecordsWanted(NamedTuple):
-    """Requests the records that a domain's states refer to from its owner."""
+    """Asks the owner of a domain for the records that its states refer to."""
 
     domain: str
 
 
 class LocalEvidence(NamedTuple):
-    """Evidence of this entry host's own domain controllers, with its records.
+    """Evidence passed between tasks of this entry host.
+
+    It comes from this host's own domain controllers, always with the records, or from a peer.
 
     :param at: local monotonic time that the ages are relative to
     """
--- a/src/oleanderhill/routing/router.py
+++ b/src/oleanderhill/routing/router.py
@@ -1,8 +1,9 @@
 """Selects the group for a request by evidence, load and prefix affinity. Does no I/O.
 
-A group is a candidate only while fresh evidence shows that it is complete. Reported load lags. To
-decide whether a group is full, requests that this entry host started since the report are added to
-it. To compare groups, this host's requests count in full and those of other hosts in part.
+A group is a candidate only while fresh evidence shows that it is complete. The reported load of a
+group is out of date. To decide whether the group is full, the requests that this entry host has
+started since the report are added to it. To compare groups, this host's requests count in full and
+those of other hosts in part.
 """
 
 from __future__ import annotations
@@ -22,15 +23,16 @@
 PEER_REQUEST_WEIGHT = 0.3
 """Weight of other hosts' requests, relative to this host's own, when groups are compared.
 
-Reports are about as old as a short request is long. At full weight they would send every entry host
-to the group that was idle a second ago. A host knows its own requests without delay.
+A report is about as old as a short request takes to run. At full weight, reports would make every
+entry host choose the group that was idle a second ago. A host knows its own requests without delay.
 """
 
 REMOTE_PENALTY = 0.35
 """Load added to a group of another data centre, as a fraction of its capacity."""
 
 FULL_LOAD = 2.0
-"""Ratio of estimated load to capacity at which a group gets no more requests: one batch waits."""
+"""Ratio of estimated load to capacity at which a group gets no more requests: as many requests wait
+as run."""
 
 EJECT_SECONDS = 5.0
 MAX_EJECTED_FRACTION = 1 / 3
@@ -75,7 +77,11 @@
 
 
 class NoChoice(NamedTuple):
-    """Why no group was chosen; ``full`` if groups are available but at their load limit."""
+    """Why no group was chosen.
+
+    :param full: whether groups are available but at their load limit
+    :param known: whether a group offers the model, even if it is not available
+    """
 
     reason: str
     full: bool
@@ -83,7 +89,7 @@
 
 
 def target_id(group: str, epoch: int) -> str:
-    """Return the id under which an attempt records the targets that it tried."""
+    """Return the id of a group at one epoch, as recorded in the targets that a request tried."""
     return f"{group}@{epoch}"
 
 
@@ -237,9 +243,10 @@
         least: float,
         wanted: Requirements,
     ) -> Evidence | None:
-        """Return a group that likely has the prefix cached.
+        """Return a group that likely has the prefix cached, ``None`` if each has too much load.
 
-        Its load may exceed the least loaded group's by one request at most.
+        Its load may exceed that of the least loaded group by one request at most, and it must have
+        capacity for one more request.
         """
         local = [e for e in not_full if e.data_centre == self.data_centre] or not_full
         by_group = {e.view.group: e for e in local}
--- a/src/oleanderhill/routing/skew.py
+++ b/src/oleanderhill/routing/skew.py
@@ -1,9 +1,9 @@
-"""Estimates the one-way delay of messages without synchronised clocks.
+"""Estimates when messages were sent, without synchronised clocks.
 
-A process that resumes after a pause reads messages that have waited in its socket for seconds. By
-their time of arrival they appear fresh. Each sender stamps its messages with its own monotonic
-clock. The smallest difference observed between arrival and stamp is taken as that of a message
-without delay; any excess over it is delay.
+A process that resumes after a pause reads messages that have waited in its socket for seconds.
+Judged by their time of arrival, they would appear fresh. Each sender therefore stamps its messages
+with its own monotonic clock. The smallest difference observed between arrival and stamp is taken as
+the difference between the clocks; any excess over it is delay.
 """
 
 from __future__ import annotations
@@ -18,8 +18,11 @@
 
 
 class Offset(NamedTuple):
-    """Smallest difference between arrival and stamp, the time of the first sample and of the
-    latest.
+    """The estimated difference between the local clock and the clock of a sender.
+
+    :param least: smallest difference between arrival and stamp, in seconds, adjusted for drift
+    :param since: local time of the first sample
+    :param updated: local time of the latest sample
     """
 
     least: float
--- a/src/oleanderhill/routing/target_limits.py
+++ b/src/oleanderhill/routing/target_limits.py
@@ -1,14 +1,14 @@
 """Rate limits that targets state for all entry hosts together, and this host's share of each.
 
 An overloaded target states how many requests a second it accepts from all entry hosts together.
-Entry hosts do not coordinate each request, so the limit is split in advance: a few entry hosts,
-which every host computes alike, share it equally, and the others send elsewhere. Each sharer spaces
-its requests by a full interval, so in any window all sharers together exceed the limit by at most
-one request each.
-
-A stated limit is a statement with a version. Entry hosts exchange their statements, and the highest
-version wins. A statement that raises or removes a limit is accepted only from an answer to a
-request that was sent after the limit was last stated, because answers may arrive out of order.
+Entry hosts do not coordinate each request, so the limit is split in advance: a few entry hosts
+share it equally, and the others send elsewhere. Every host determines the same sharers, by a
+rendezvous hash. Each sharer spaces its requests by a full interval, so in any window all sharers
+together exceed the limit by at most one request each.
+
+A target's limit is stored as a statement with a version. Entry hosts exchange their statements, and
+the highest version wins. An answer raises or removes a limit only if its request was sent after the
+limit was last stated, because answers may arrive out of order.
 """
 
 from __future__ import annotations
@@ -43,9 +43,9 @@
 """Seconds between two updates with all statements, for peers that started or were partitioned."""
 
 RESTAGGER_BELOW = 0.5
-"""Fraction of the previous rate below which a new rate is handled like a first one: the sharers
-start one after the other. Doing so at every change would block all of them while a rate shrinks in
-small steps."""
+"""Fraction of the previous rate below which a new rate is handled like a newly stated limit: the
+sharers start one after the other. Doing so at every change would block all of them while a rate
+shrinks in small steps."""
 
 UNREADABLE_RATE = 0.5
 """Requests a second assumed for a limit that cannot be parsed: the target did state a limit."""
@@ -99,8 +99,9 @@
 class Charge(NamedTuple):
     """What one request consumes of one limit.
 
-    :param version: version of the statement in force
-    :param previous_send_at: when this host could have sent its next request without this one
+    :param version: version of the statement that was in force
+    :param previous_send_at: earliest time of this host's next request before the charge, restored
+        if the request is not sent
     """
 
     version: int
@@ -279,7 +280,8 @@
     def confirm(self, permit: Permit, now: float) -> bool:
         """Return whether the first byte may be sent now.
 
-        Checks the limits again, as statements may have changed since the target was chosen.
+        If a statement has changed since the target was chosen, the permit is given back, and the
+        request is checked and charged against the limits now in force.
         """
         version_by_incarnation = {
             k: limit.statement.version
@@ -317,7 +319,8 @@
     def members_to_probe(self, incarnations: Sequence[str]) -> list[str]:
         """Return the members of a group that this host has to probe for the end of their limit.
 
-        These members receive no requests themselves. The first sharer of a limit probes.
+        These members receive no requests themselves, so only answers to probes and orders can
+        report the end. The first sharer of a limit probes.
         """
         others = incarnations[1:]
         bound = self._binding_limits(incarnations).items()
@@ -330,9 +333,10 @@
     def _binding_limits(self, incarnations: Sequence[str]) -> Mapping[str, _Limit]:
         """Return the limits that apply to a group, by incarnation.
 
-        A member that receives no requests itself limits the group by what it states in answers to
-        orders and probes: every request passes through it, and later probes report the end of the
-        limit.
+        A limit stated by the first member always applies. A limit of another member, which
+        receives no requests from entry hosts, applies if it was stated in an answer to an order or
+        a probe: every request of the group passes through that member, and later probes report the
+        end of its limit.
         """
         if not self._limit_by_incarnation:
             return {}
@@ -403,7 +407,10 @@
 
 
 def _is_valid(statement: Statement) -> bool:
-    """Return whether a statement is valid. Anybody may send datagrams to this host."""
+    """Return whether the rate and version of a peer's statement are valid.
+
+    Anybody may send datagrams to this host.
+    """
     rate_is_valid = statement.rate is None or 0.0 <= statement.rate < math.inf
     return rate_is_valid and 0 < statement.version <= MAX_VERSION
 
--- a/src/oleanderhill/routing/waiting.py
+++ b/src/oleanderhill/routing/waiting.py
@@ -41,10 +41,11 @@
         return len(self._by_request) * self._mean_interval
 
     def join(self, waiter: Waiter) -> float | None:
-        """Queue a waiter; return ``None``, or a retry delay in seconds if it would be too late.
+        """Queue a waiter; return ``None``, or the retry delay in seconds if it is rejected.
 
-        Early rejection is better than a wait that ends at the deadline: the caller learns
-        immediately, and no group computes an answer that arrives too late.
+        It is rejected if the queue is full or it would likely miss its deadline. Early rejection is
+        better than a wait that ends at the deadline: the caller is answered immediately, and no
+        group computes an answer that arrives too late.
         """
         wait = self.estimate()
         if len(self._by_request) >= self._limit or self.would_miss_deadline(
--- a/src/oleanderhill/serving/admission.py
+++ b/src/oleanderhill/serving/admission.py
@@ -21,7 +21,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the rank of the request; the account's rank overrides the route's."""
+        """Return the priority of the request; the account's priority overrides the route's."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
@@ -32,7 +32,7 @@
 ) -> Accepted | Problem:
     """Return the route and client account of a request, or why it is rejected.
 
-    :param current: whether the configuration is verified as the newest within the allowed age
+    :param current: whether the configuration was verified as the newest one recently enough
 
     A host whose configuration may be stale answers 503, never 401 or 404: the route or key may
     exist without being known here yet, and callers don't retry after 401 or 404.
@@ -64,9 +64,10 @@
     Each attempt has its own id and carries no reference to an earlier one. A retry arrives on a new
     connection and with a shorter caller timeout than the first attempt had. Neither sign suffices
     alone: callers open connections for first attempts too, and their timeouts were observed to
-    differ by 15 %. Judged by the timeout alone, 75 of 100 first attempts counted as retries and got
-    the queue limit of late requests. With both signs 5 in 100 do, and all retries after a rejection
-    are recognised (among 1,875 attempts of one day, matched by the prompts that they share).
+    differ by 15 %. Judged by the timeout alone, 75 of 100 first attempts would count as retries and
+    get the queue limit of late requests. With both signs 5 of 100 do, and all retries after a
+    rejection are recognised. These figures are from 1,875 attempts of one day; attempts with the
+    same prompt were taken for attempts of one request.
     """
 
     def __init__(self) -> None:
@@ -85,5 +86,6 @@
 
 
 FIRST_ATTEMPT_FRACTION = 0.97
-"""Fraction of the longest caller timeout from which on an attempt counts as the first. The transfer
-to this host takes a few milliseconds off; the shortest retry delay takes off more than 3 %."""
+"""Fraction of a route's longest caller timeout from which on an attempt counts as the first. The
+timeout is the time that the caller has left: the transfer to this host takes a few milliseconds of
+it, and even the shortest retry delay takes more than 3 %."""
--- a/src/oleanderhill/serving/admission_class.py
+++ b/src/oleanderhill/serving/admission_class.py
@@ -5,8 +5,8 @@
 new requests behind them late too, so that the overload would outlast its cause. A group of an
 engine therefore accepts no more requests than it runs at once, plus the few that are on time even
 though they wait for a slot. It accepts late requests only where that leaves slots free for requests
-that can still be on time. This covers a shortage of capacity, whether some groups are lost or the
-callers exceed what all groups can serve. Without overload every request gets a slot immediately.
+that can still be on time. The limits apply to any shortage of capacity, whether groups were lost or
+callers send more than all groups can serve. Without overload every request gets a slot immediately.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
     """Admission class of a request."""
 
     BEGUN = "begun"
-    """The caller has received part of the stream. It is on time if it continues soon."""
+    """The caller has received part of the stream. It is on time if the stream resumes soon."""
 
     FRESH = "fresh"
     """The request can still be on time."""
 
     LATE = "late"
-    """The request is a retry after a rejection, or it has waited at a target without an answer."""
+    """The request is a retry after a rejection, or was already sent to a target without success."""
 
 
 class QueueLimit(NamedTuple):
     """Queue limit that applies to a request at a target.
 
     :param max_load: load below which a target accepts the request, as a multiple of its slots
-    :param urgency: offset that is added to the rank of the request there; rank 0 is most urgent
+    :param urgency: offset that is added to the priority of the request there; lower is more urgent
     """
 
     max_load: float
@@ -41,11 +41,12 @@
 
 
 ENGINE_QUEUE_LIMITS: Mapping[AdmissionClass, QueueLimit] = {
-    # Goes first in the engine's queue, and starts when the next slot is free: after 0.1 s.
+    # Is first in the engine's queue and starts when the next slot becomes free, after about 0.1 s.
     AdmissionClass.BEGUN: QueueLimit(1.8, -2),
-    # Default without known engine times: with thirteen slots, two requests may wait.
+    # Applies if the engine times are unknown. With thirteen slots, two requests may wait.
     AdmissionClass.FRESH: QueueLimit(1.1, 0),
-    # Leaves four of thirteen slots free for requests that can be on time.
+    # Accepted only while four of thirteen slots are free, to leave some for requests that can be on
+    # time.
     AdmissionClass.LATE: QueueLimit(0.7, 3),
 }
 """Queue limits at a group of an engine."""
@@ -55,8 +56,8 @@
     AdmissionClass.FRESH: QueueLimit(1.2, 0),
     AdmissionClass.LATE: QueueLimit(1.8, 0),
 }
-"""Queue limits at a plain target. It takes tens of milliseconds for a request, so that one that
-waits for another is still on time, and a late one delays the others little."""
+"""Queue limits at a plain target. It handles a request in tens of milliseconds, so a request that
+waits for another one is still on time, and a late request hardly delays the others."""
 
 
 def admission_class(is_retry: bool, attempts_sent: int, begun: bool) -> AdmissionClass:
@@ -77,8 +78,8 @@
     """Return the queue limit for a request.
 
     :param generates: whether it runs in an engine, for a second or more
-    :param waiting: requests that may wait with the last one still on time, as a fraction of the
-        target's slots; ``None`` if unknown
+    :param waiting: number of requests that may queue such that the last one is still on time, as a
+        fraction of the target's slots; ``None`` if unknown
     """
     if not generates:
         return PLAIN_QUEUE_LIMITS[admission_class]
--- a/src/oleanderhill/serving/attempt.py
+++ b/src/oleanderhill/serving/attempt.py
@@ -25,17 +25,21 @@
         """Return whether the first byte may be sent now, and if so record that it is sent."""
 
     def read_reply(self, status: int, headers: HTTPHeaders) -> ReplyInfo:
-        """Interpret the status and headers of a reply."""
+        """Decode the status and headers of a reply."""
 
     def apply_notice(self, run: Attempt, reading: ReplyInfo) -> None:
-        """Handle the interpreted head of a reply, before its body arrives."""
+        """Apply the notice in the headers of a reply, before its body arrives."""
 
     def forward_events(self, run: Attempt, data: bytes, events: int) -> Awaitable[None] | None:
         """Forward complete events to the caller."""
 
 
 class Attempt(Observer):
-    """One attempt of a request; forwards what the target sends."""
+    """One attempt of a request; forwards streamed events and buffers the body of other replies.
+
+    After the attempt, ``not_sent`` states whether :meth:`confirm_send` refused to send the request,
+    and ``fault`` describes the first event that was out of sequence, empty for none.
+    """
 
     def __init__(self, request: ForwardedRequest, choice: Choice) -> None:
         self._request = request
--- a/src/oleanderhill/serving/driver.py
+++ b/src/oleanderhill/serving/driver.py
@@ -50,8 +50,8 @@
 from .target_limits import StatementSource
 
 CONNECT_TIMEOUT = 0.12
-"""Seconds to connect to a target. The round trip within a region is under 20 ms, and a request that
-was sent to an unreachable target can still meet its latency goal elsewhere."""
+"""Seconds to connect to a target. This is ample for a round trip within a region, under 20 ms, and
+short enough that after an unreachable target another one can still meet the latency goal."""
 
 QUARANTINED = "quarantined"
 
@@ -142,7 +142,7 @@
         return self.machine.handle(event, time.monotonic())  # type: ignore[arg-type]
 
     def confirm_send(self) -> bool:
-        """Return whether the request may be sent to its target now, and record that it is sent."""
+        """Return whether the request may be sent now, and if so record that it is sent."""
         if not self.context.quarantine.may_send(self._identity):
             return False
         now = time.monotonic()
@@ -386,7 +386,7 @@
         )
 
     def _handle_rejection(self, choice: Choice, reason: str, notice: Notice) -> None:
-        """Record a rejection.
+        """Record that a target rejected the request.
 
         The target becomes a suspect only if the rejection states no back-off and no rate limit.
         """
@@ -439,7 +439,11 @@
         self._log_outcome(problem.kind, False, problem.status, reason=problem.detail)
 
     def _without_unproven_claims(self, problem: Problem) -> Problem:
-        """Return the problem with a status that claims only what is known of the execution."""
+        """Return the problem, adjusted to what is known about the execution.
+
+        A retry time and status 503 remain only if no target ran the request. If one may have run
+        it, the status is 502 or 504 without a retry time.
+        """
         if problem.retry_after is None:
             return problem  # without a retry time, the problem is final as it is
         if self.machine.ran() != Ran.NO:
--- a/src/oleanderhill/serving/forwarding.py
+++ b/src/oleanderhill/serving/forwarding.py
@@ -51,7 +51,7 @@
 
 
 class ReplyInfo(NamedTuple):
-    """The meaning of a target's reply.
+    """What the status and headers of a target's reply state.
 
     :param not_run: whether the target states that it did not run the request and will not run it
     :param signed: whether the reply carries the target's signature
--- a/src/oleanderhill/serving/front.py
+++ b/src/oleanderhill/serving/front.py
@@ -115,7 +115,10 @@
 
 
 def _retrieve_exception(written: asyncio.Future[None]) -> None:
-    """Retrieve the exception of a failed write, as the close callback handles disconnects."""
+    """Retrieve the exception of a failed write, so that asyncio doesn't log it as unhandled.
+
+    The close callback handles disconnects.
+    """
     if not written.cancelled():
         written.exception()
 
@@ -142,7 +145,8 @@
         self._arrived_at = 0.0
         front.idle.add(self)
         if front.closing_idle:
-            # A response that started before the shutdown request left its connection open.
+            # The previous response on this connection started before the shutdown request, and so
+            # didn't close the connection.
             self.close()
 
     def headers_received(
@@ -164,7 +168,7 @@
         front = self._front
         if isinstance(self._connection, HTTP1Connection) and self._connection.stream.closed():
             # The request was read while its connection was being closed as idle. No caller is left
-            # to receive the response, so a target would process it for nothing.
+            # to receive the response, so a target would process the request for nothing.
             front.requests_in_flight.discard(self)
             return
         facts = front.codec.read_request(self._headers)
@@ -295,9 +299,9 @@
     def in_flight(self) -> int:
         """Return the number of requests with received headers and an unfinished response.
 
-        Requests count from the receipt of their headers. Counting them from the start of their task
-        let a drain miss a request that was still being received: the process exited and aborted it
-        while its target was processing it.
+        Requests count from the receipt of their headers. If they counted only from the start of
+        their task, a drain would miss a request whose body is still being received, and the process
+        would exit and abort the request while its target processes it.
         """
         return len(self.requests_in_flight)
 
@@ -309,9 +313,10 @@
     async def drain(self) -> None:
         """Stop accepting callers, and return when the requests in flight have finished.
 
-        Readiness is withdrawn first. Connections are accepted until the load balancer has certainly
-        noticed, as a refused connection is a lost request. From the shutdown request on, each
-        response closes its connection, so that callers reconnect through the load balancer.
+        First the readiness endpoint answers 503. New connections are accepted until the load
+        balancer must have removed this host, because a refused connection loses a request. From the
+        shutdown request on, each response closes its connection, so that callers reconnect through
+        the load balancer.
         """
         started_at = time.monotonic()
         self.stopping = True
@@ -327,7 +332,10 @@
         self._records.note("process", "drained", in_flight=self.in_flight)
 
     async def run(self, incoming: Incoming, host: str, path: str, sink: CallerSink) -> None:
-        """Handle a request up to its final response, which it gets on any failure too."""
+        """Handle a request up to its final response.
+
+        After an internal error the caller gets a 502, or its stream is aborted if it has begun.
+        """
         try:
             await self.callbacks.serve(incoming, host, path, sink)
         except Exception as error:  # an internal error must not leave the caller without a response
--- a/src/oleanderhill/serving/gossip.py
+++ b/src/oleanderhill/serving/gossip.py
@@ -37,8 +37,9 @@
 from .target_limits import TargetLimitTask
 
 REPORT_INTERVAL = 0.05
-"""Seconds between two reports. Reports distinguish a stalled target from a busy one, and a stalled
-stream has 0.2 s to resume elsewhere. A report costs about 30 us at each end."""
+"""Seconds between two reports. Entry hosts need the reports of their peers to distinguish a stalled
+target from a busy one, and a stalled stream has 0.2 s to resume elsewhere. Sending or receiving a
+report takes about 30 us."""
 
 AGGREGATOR_TIMEOUT = 0.3
 """Seconds without a total after which reports also go to the backup aggregator: five totals lost in
@@ -120,7 +121,7 @@
         self._full_mesh = True
         self._total_received_at = time.monotonic()
         self._own = self._own_report(time.monotonic())
-        # A total contains this host's previous report.
+        # Subtracted from received totals, which contain this host's previous report.
         self._own_in_total = self._own
         self._local_reports: dict[tuple[str, int], _Received] = {}
         self._remote_sums: dict[tuple[str, int], _Received] = {}
@@ -208,7 +209,7 @@
     def _send_aggregates(
         self, now: float, to: ReportRecipients, alive: Mapping[str, Presence]
     ) -> None:
-        """Send the sum of this data centre and the total, as its aggregator."""
+        """Send this data centre's sum to other aggregators, and the total to the local hosts."""
         me = self._me
         local_reports = [
             self._own,
--- a/src/oleanderhill/serving/incoming.py
+++ b/src/oleanderhill/serving/incoming.py
@@ -39,7 +39,7 @@
         """Start a streamed response."""
 
     def write(self, data: bytes) -> Awaitable[None] | None:
-        """Send a chunk of a streamed response; await the result before sending more."""
+        """Send a chunk of a streamed response; await the result, if any, before the next chunk."""
 
     def end(self) -> None:
         """Finish a streamed response as complete."""
--- a/src/oleanderhill/serving/leaving.py
+++ b/src/oleanderhill/serving/leaving.py
@@ -14,7 +14,7 @@
 from ..records import Records
 
 REPEAT_SECONDS = 0.5
-"""Seconds for which a target is included in each report, since datagrams may be lost."""
+"""Seconds for which a target is included in each update to peers, since datagrams may be lost."""
 
 FULL_UPDATE_INTERVAL = 2.0
 """Seconds between two updates with all leaving targets. Peers that have just started or were
@@ -48,7 +48,7 @@
         return len(self._marked_at)
 
     def announced(self, incarnation: str, source: str, request_id: str = "") -> None:
-        """Record that a target is leaving; nothing revokes this during its incarnation."""
+        """Record that a target is leaving, which holds until the end of its incarnation."""
         if incarnation in self._marked_at or not self._inventory.leave(incarnation):
             return
         self._marked_at[incarnation] = time.monotonic()
--- a/src/oleanderhill/serving/notices.py
+++ b/src/oleanderhill/serving/notices.py
@@ -1,7 +1,7 @@
 """Dispatches the notices in a target's answers to the trackers that store them.
 
-A rate limit applies to all entry hosts together, a back-off to the host that received the answer.
-That a target is leaving applies to every host until the end of its incarnation.
+A rate limit applies to all entry hosts together, a back-off only to the entry host that received
+the answer. A leaving target gets no requests from any entry host until its incarnation ends.
 """
 
 from __future__ import annotations
@@ -92,7 +92,8 @@
         )
 
     def _start_backoff(self, incarnation: str, seconds: float, source: StatementSource) -> None:
-        # Nothing reports the end of an incarnation that is not listed, so its back-off would stay.
+        # The end of an incarnation that is not listed is never reported, so its back-off would not
+        # be removed.
         if self._inventory.host(incarnation) is None:
             return
         if self._backoffs.extend(incarnation, seconds, time.monotonic()):
--- a/src/oleanderhill/serving/placement.py
+++ b/src/oleanderhill/serving/placement.py
@@ -16,22 +16,22 @@
 """Seconds for which a peer's counts are used, so that several of its reports may be lost."""
 
 SUSPECT_SECONDS = 2.0
-"""Seconds for which a target that stalled is chosen last, unless this host or a peer observes it to
-send again earlier. The owner of a group detects a lost member and dissolves the group within 1.5 s.
-With a longer time, callers would be rejected while a group that was only slow once stays unused."""
+"""Seconds for which a stalled target is avoided, unless this host or a peer receives data from it
+earlier. The owner of a group detects a lost member and dissolves the group within 1.5 s. With a
+longer time, callers would be rejected while a group that was slow only once stays unused."""
 
 MAX_SUSPECT_FRACTION = 0.5
-"""Fraction of the targets up to which suspicion is taken into account. Only the failure of several
-data centres loses more targets at the same time; otherwise the cause is load, and suspect targets
-still get requests."""
+"""Fraction of the targets below which suspects are avoided. From there on the likely cause is load,
+since only the failure of several data centres loses so many targets at the same time, and suspect
+targets get requests too if no other target has capacity."""
 
 PEER_SUSPECT_SECONDS = 0.5
 """Seconds for which a target stays suspect after a peer's report. The peer repeats it several times
 a second for as long as it applies. Suspicion learnt from a peer isn't sent on to others."""
 
 PEER_REPORT_DELAY = 0.06
-"""Seconds by which a peer's report of a target's progress is late: the interval between two
-reports. Where reports are aggregated, this applies to each hop."""
+"""Seconds by which a peer's report of a target's progress lags in a full mesh: about the interval
+between two reports. Where reports are aggregated, each hop adds an interval."""
 
 REMOTE_PENALTY = 0.08
 """Load difference, as a fraction of a target's slots, above which a target in another data centre
@@ -48,9 +48,9 @@
 
 
 HERD_LIMIT = 4.0
-"""Requests that all entry hosts together may send to a target before any of them sees the others'
-requests. It bounds the thundering herd on a group that has just opened and is the least loaded one
-for all hosts at the same time."""
+"""Requests that all entry hosts together may send to a target before any of them has received the
+others' counts. It bounds the thundering herd on a group that has just started to serve and is the
+least loaded one for all hosts at the same time."""
 
 REQUEST_SECONDS = 1.0
 """Approximate duration of a request at an engine. It converts requests in flight to a rate."""
@@ -60,6 +60,7 @@
     """A target that could take a request.
 
     :param target: key of the target in load counts: a group, or the instance of a plain target
+    :param host: the host that receives the request: the head of a group, or the plain target
     :param members: the incarnations of the other members of its group
     """
 
@@ -69,7 +70,7 @@
 
     @property
     def incarnations(self) -> tuple[str, ...]:
-        """Return all incarnations that a request passes through, starting with the first."""
+        """Return all incarnations that a request passes through, the one that receives it first."""
         return (str(self.host.instance), *self.members)
 
 
@@ -153,8 +154,8 @@
         """Return whether a target recently sent something to any entry host.
 
         A group that lost a member stops for all its requests at the same time. A group that still
-        sends to others is busy, not stalled. Moving a request away from it would have the prompt
-        read twice, and under load that delays the next request too.
+        sends to other requests is busy, not stalled. If a request were moved away from it, its
+        prompt would be processed twice, which under load delays later requests too.
         """
         if now - self._progress_at.get(target, float("-inf")) < within:
             return True
@@ -238,17 +239,20 @@
     ) -> Candidate | None:
         """Return the target for a request, ``None`` if no untried target has capacity.
 
-        The target with the lowest load relative to its slots is chosen. A suspect target is chosen
-        only if all are suspect, or so many that suspicion says little: a request sent to one most
-        likely waits until its caller times out. The same applies to a target that requested a
-        back-off from a peer. One that requested it from this host gets no requests.
+        The target with the lowest load relative to its slots is chosen; remote targets and targets
+        without an open connection get a penalty. At a suspect target a request most likely waits
+        until its caller times out. Suspects are therefore chosen only if no other target has
+        capacity and at least :data:`MAX_SUSPECT_FRACTION` of the targets are suspect. The same
+        applies to a target that requested a back-off from a peer. One that requested it from this
+        host gets no requests.
 
         :param max_load: load below which a target has capacity, as a multiple of its slots
         :param connected: returns whether a connection to an address is open
-        :param random_choice: choose at random among the targets with capacity, for a request that
-            was lost with a target that one of its requests may have crashed. All of these requests
-            move at the same time. If they all moved to the least loaded target, a crash-causing
-            request would take the others along again and could not be told from them
+        :param random_choice: whether to choose at random among the targets with capacity. Used for
+            a request whose previous target may have crashed. All requests of that target move at
+            the same time. If they all moved to the least loaded target, a crash-causing request
+            among them would crash that target under the same requests, and could not be
+            distinguished from them
         """
         untried = [c for c in candidates if c.target not in tried]
         available = [c for c in untried if self.backoffs.may_place(c.incarnations[0], now)]
@@ -294,7 +298,7 @@
     def backoff_left(self, candidates: Sequence[Candidate], now: float) -> float | None:
         """Return the seconds until the first back-off from one of the targets ends.
 
-        :return: ``None`` if this host doesn't back off from at least one of them
+        :return: ``None`` unless this host currently backs off from all of them
         """
         return self.backoffs.seconds_to_first_end([c.incarnations[0] for c in candidates], now)
 
@@ -310,8 +314,8 @@
 
         Targets with an open connection are always included, as are those whose rate limit allows
         this host a request now: they are few, and differ from host to host. The sample of the rest
-        is so small that a target that is the best for all hosts gets :data:`HERD_LIMIT` requests
-        before these requests show in the counts.
+        is so small that a target that ranks best at all hosts gets about :data:`HERD_LIMIT`
+        requests before these requests appear in the counts of the peers.
         """
         in_flight = sum(self.load(c.target, now) for c in candidates)
         unreported = in_flight / REQUEST_SECONDS * self.peer_report_delay
@@ -336,7 +340,8 @@
         host = candidate.host
         load = self.load(candidate.target, now) / max(1, host.slots)
         if self._is_limited(candidate):
-            # Without penalties: its limit rarely allows a request, and an unused share is lost.
+            # No penalties: the rate limit rarely allows this host a request, and an unused share is
+            # lost.
             return load
         remote = REMOTE_PENALTY if host.data_centre != self._data_centre else 0.0
         new = 0.0 if connected(host.address) else NEW_CONNECTION_PENALTY
--- a/src/oleanderhill/serving/prediction.py
+++ b/src/oleanderhill/serving/prediction.py
@@ -7,12 +7,13 @@
 from ..settings.catalog import EngineProfile, EngineTiming, ModelProfile
 
 ROUND_TRIP = 0.01
-"""Seconds of a goal that the round trip to the caller takes: a few milliseconds each way."""
+"""Seconds that are deducted from a goal for the round trip to the caller: a few milliseconds each
+way."""
 
 MAX_QUEUE_FRACTION = 0.5
 """Upper bound on the requests that may wait at a group, as a fraction of its slots. With a goal of
-several seconds the queue could otherwise grow so long that the next loss of a group makes all of it
-late."""
+several seconds the queue could otherwise grow so long that the next loss of a group makes all
+waiting requests late."""
 
 
 class Prediction(NamedTuple):
@@ -30,9 +31,9 @@
     """Return the predicted timing of a full group, ``None`` without configured engine times.
 
     A request waits on average for half of the current pass, then for a pass that includes reading
-    its prompt. For the two models of one deployment this gives 0.10 and 0.06 s to the first event,
-    where callers observed a median of 0.12 and 0.07 s without overload, and a free slot every 0.12
-    and 0.07 s.
+    its prompt. For the two models of one deployment this predicts 0.10 and 0.06 s to the first
+    event, and a free slot every 0.12 and 0.07 s. Without overload, callers there observed a median
+    of 0.12 and 0.07 s to the first event.
     """
     times = shape.times
     if times is None:
@@ -40,7 +41,7 @@
     step = _step_seconds(times, shape.batch)
     read = times.mean_prompt_tokens * times.prefill_per_token
     first = (1.5 * step * times.steps + read) * model.pace
-    # While a request generates, the prompt of each other request of the batch is read once.
+    # During the time of one request, the prompt of each request of the batch is read once.
     total = (times.mean_answer_tokens * step + shape.batch * read) * model.pace
     return Prediction(first, total / max(1, shape.batch))
 
--- a/src/oleanderhill/serving/quarantine.py
+++ b/src/oleanderhill/serving/quarantine.py
@@ -40,18 +40,19 @@
 
 WRITE_ATTEMPTS = 20
 WRITE_RETRY_SECONDS = 2.0
-"""Seconds between attempts while the store is unavailable, for over 40 s in total. Until then only
-the peers' memory holds the quarantine."""
+"""Seconds between attempts while the store is unavailable, for over 40 s in total. Until an attempt
+succeeds, the quarantine exists only in the memory of the entry hosts."""
 
 
 class QuarantineRecord(msgspec.Struct):
-    """Stored record of a request with enough target crashes.
+    """Stored record of a request that is quarantined, or suspected after several target crashes.
 
     :param host: entry host that wrote it
     :param endings: incarnations of targets that crashed under it, each with all requests that were
         in flight and for how many seconds. Without the other requests, this one would seem to have
         been alone at each crash
-    :param quarantined: whether it is sent to no target; otherwise its next attempts decide
+    :param quarantined: whether the request is sent to no target; if false, it is only suspected,
+        and its next attempts decide whether it is quarantined
     """
 
     host: str
@@ -65,7 +66,7 @@
 
 
 class TargetCheck(NamedTuple):
-    """Message that requests a check whether a target with lost connections still listens."""
+    """Message that requests a check of whether a target with lost connections still listens."""
 
     host: str
     incarnation: str
@@ -225,7 +226,8 @@
         restored, self._restored = self._restored, False
         for identity in self._stored.keys() - listed:
             if restored:
-                # The backup lacks the record, which is no release; the crashes are still known.
+                # The backup lacks the record. Unlike a deletion this is no release: the crashes are
+                # still known here, and the record is written again.
                 del self._stored[identity]
                 self._ensure_stored(identity)
             else:
@@ -264,7 +266,7 @@
     # Internals
 
     def _handle_quarantined(self, identities: Sequence[str], reason: str, age: float) -> None:
-        """Log, signal to waiters, and store newly quarantined and newly suspected requests."""
+        """Log and store newly quarantined and suspected requests; notify waiters of the former."""
         for identity in identities:
             self._records.note(
                 "quarantine",
--- a/src/oleanderhill/serving/reports.py
+++ b/src/oleanderhill/serving/reports.py
@@ -4,8 +4,8 @@
 The traffic of a mesh grows with the square of the number of hosts: 90 hosts would send 160,000
 datagrams per second. Above :data:`MAX_MESH_HOSTS`, one host per data centre, the aggregator, sums
 the reports of its data centre, exchanges sums with the aggregators of the other data centres and
-sends the total to its local hosts. Each host then sends and receives one report per interval,
-whatever the number of hosts.
+sends the total to its local hosts. Each of the other hosts then sends and receives one report per
+interval, whatever the number of hosts.
 """
 
 from __future__ import annotations
@@ -66,9 +66,9 @@
 class ReportRecipients(NamedTuple):
     """The entry hosts to which a host sends its reports.
 
-    :param own: receive the host's own report
-    :param aggregators: aggregators of other data centres, receive the sum of the host's data centre
-    :param local_hosts: hosts of the same data centre, receive the total
+    :param own: hosts that receive the host's own report
+    :param aggregators: aggregators of other data centres, which receive the sum of the host's one
+    :param local_hosts: hosts of the same data centre, which receive the total
     """
 
     own: tuple[str, ...] = ()
--- a/src/oleanderhill/serving/retries.py
+++ b/src/oleanderhill/serving/retries.py
@@ -1,14 +1,14 @@
 """Retry budget that all entry hosts share without coordination.
 
-The budget is a ratio of a service's requests plus a constant slack, within any window. The ratio is
-additive: each host counts its own requests, however the balancer distributes them. The slack is
-divided by the number of hosts. A restarted host loses its count of spent retries, so each host uses
-only a fraction of its share.
+Within any window, a service may use retries up to a ratio of its requests plus a constant slack.
+The ratio is additive: each host applies it to its own requests, however the balancer distributes
+them. The slack is divided by the number of hosts. A restarted host loses its count of spent
+retries, so each host uses only a fraction of its share.
 
 Hosts that receive each other's counts pool their shares. With a hundred hosts each share is only a
-few retries, and a host near lost groups needs more than that for two seconds, while all hosts
-together use a tenth of theirs; without pooling, its requests failed with 503 for want of one more
-retry. Each host still contributes no more than its share, so the total stays within the same sum
+few retries. A host near lost groups needs more than that for two seconds, while all hosts together
+use a tenth of their shares; without pooling, its requests would fail with 503 because no retry is
+left. Each host still contributes no more than its share, so the total stays within the same bound
 regardless of which hosts receive whose counts.
 """
 
@@ -20,11 +20,11 @@
 
 SLACK_FRACTION = 0.6
 """Fraction of a host's share of the slack that it spends. The rest covers a restart within a window
-and the time in which a new host counts itself before the others do."""
+and the time in which a new host already counts itself, but the other hosts don't yet."""
 
 RATIO_FRACTION = 0.85
-"""Fraction of the ratio that is spent: requests counted here may end in the window before the one
-in which their retries arrive."""
+"""Fraction of the ratio that is spent. The rest is a margin, since a request may be counted in the
+window before the one in which its retries arrive at targets."""
 
 
 PEER_COUNT_DELAY = 0.5
@@ -56,7 +56,7 @@
 
     :param ratio: retries allowed for each request
     :param slack: retries allowed in a window regardless of requests, over all hosts
-    :param window: seconds
+    :param window: length of the sliding window in seconds
     """
 
     def __init__(self, ratio: float, slack: float, window: float) -> None:
--- a/src/oleanderhill/serving/retry_delay.py
+++ b/src/oleanderhill/serving/retry_delay.py
@@ -5,8 +5,8 @@
 import random
 
 BUSY_DELAY = 0.4
-"""Seconds before a retry where all targets are busy or have just failed. This is about a third of
-a stream's duration, in which a group of thirteen slots completes four requests."""
+"""Seconds before a retry where all targets are busy or have just failed. In this time, about a
+third of a stream's duration, a group of thirteen slots completes four requests."""
 
 OUTAGE_DELAY = 1.2
 """Seconds before a retry where no target serves the request. A group that lost a host is complete
--- a/src/oleanderhill/serving/stall_timeout.py
+++ b/src/oleanderhill/serving/stall_timeout.py
@@ -14,7 +14,8 @@
 
 FIRST_EVENT_FRACTION = 0.8
 """Fraction of the goal after which a request without its first event moves to another target. With
-a lower value, queueing would be taken for a stall. The answer is then late, but it arrives."""
+a lower value, waiting in a queue would be taken for a stall. After the move the first event is
+late, but it arrives."""
 
 PLAIN_TIMEOUT_FRACTION = 0.45
 """Fraction of the timeout after which a repeatable request to a plain target moves to another one.
--- a/src/oleanderhill/serving/view.py
+++ b/src/oleanderhill/serving/view.py
@@ -20,9 +20,10 @@
 store poll, every 0.65 s, the average covers about four seconds, the duration of several streams."""
 
 EXPECTED_DEMAND_WEIGHT = 0.4
-"""Fraction of the groups that all hosts could form, divided by the expected traffic shares of the
-configuration, that counts as occupied without any load. Before the first request it alone
-determines the demand; later it keeps small request counts from changing the mix of models."""
+"""Fraction of a model's expected groups that counts as occupied without any load. The expected
+groups are those that all hosts could form, divided among the models by the configured traffic
+shares. Before the first request this alone determines the demand; later it keeps small request
+counts from changing the mix of models."""
 
 
 class _DomainCandidates(NamedTuple):
@@ -203,7 +204,7 @@
         ) + self.occupied_groups(model)
 
     def occupied_groups(self, model: str) -> float:
-        """Return how many groups of a model the requests of the last seconds occupy."""
+        """Return how many groups of a model its requests occupy, as an average of some seconds."""
         return self._demand_by_model.get(model, 0.0)
 
 
--- a/src/oleanderhill/settings/documents.py
+++ b/src/oleanderhill/settings/documents.py
@@ -52,7 +52,7 @@
 
 
 class Want(NamedTuple):
-    """Requests the documents that are newer than these revisions."""
+    """Requests the documents with these keys, if they are newer than these revisions."""
 
     revisions: dict[str, int]
 
--- a/src/oleanderhill/settings/fleet.py
+++ b/src/oleanderhill/settings/fleet.py
@@ -47,7 +47,7 @@
 
 
 class ClippedRequest(NamedTuple):
-    """A team's request for hosts in a data centre that exceeds its budget."""
+    """A team's request for hosts in a data centre that exceeded its budget and was reduced."""
 
     team: str
     data_centre: str
@@ -76,7 +76,10 @@
 
 
 def find_by_key(view_by_key: Mapping[str, _View], key: str) -> _View | None:
-    """Return the entry of a bearer key, or ``None``; hashes are compared in constant time."""
+    """Return the account or operator of a bearer key, or ``None``.
+
+    Hashes are compared in constant time.
+    """
     hashed = hash_key(key)
     found = None
     for known, view in view_by_key.items():
--- a/src/oleanderhill/settings/relay.py
+++ b/src/oleanderhill/settings/relay.py
@@ -96,7 +96,10 @@
         self.spawn(self._watch_hosts())
 
     async def tick(self) -> None:
-        """Send a digest to a random peer, which requests the documents it lacks."""
+        """Build the fleet if due, and send a digest of the documents to a random peer.
+
+        If the peer's documents differ, the two exchange the documents that either lacks.
+        """
         self._build_if_due()
         members = self.kernel.find("membership", MembershipTask).live()
         others = [r for h, r in members.items() if h != self._host]
@@ -117,7 +120,13 @@
             self.kernel.post("peers", SendTo(address, notice))
 
     async def write_subtree(self, team: str, tree: bytes, by: str, base: int | None) -> WriteResult:
-        """Write a subtree and return the outcome, unknown only while the store is unreachable."""
+        """Write a subtree to the store and return the outcome.
+
+        The outcome is unknown only if the store stays unreachable until the write times out.
+
+        :param by: name of the operator
+        :param base: the revision that the operator edited, ``None`` to overwrite any revision
+        """
         key = SETTINGS_PREFIX + team
         change = Change(0, secrets.token_hex(8), by, time.time())
         write = SubtreeWrite(tree, change, base, partial(self.documents.revision, key))
--- a/src/oleanderhill/settings/writes.py
+++ b/src/oleanderhill/settings/writes.py
@@ -23,7 +23,7 @@
 
 
 class Change(NamedTuple):
-    """One accepted change, as recorded in the history of later envelopes."""
+    """One accepted change, as recorded in the history of its envelope and of later ones."""
 
     revision: int
     write_id: str
--- a/src/oleanderhill/vitals.py
+++ b/src/oleanderhill/vitals.py
@@ -9,7 +9,7 @@
 from .records import Records
 
 LOG_INTERVAL = 10.0
-"""Seconds between two log lines. Adds 0.1 lines per second to about nine that a process logs."""
+"""Seconds between two log lines: 0.1 lines per second, beside about nine others of a process."""
 
 ReadCounters = Callable[[], Mapping[str, object]]
 """Returns counters by name, accumulated since the start of the process."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -26,7 +26,7 @@
 class RequestMachineTest(unittest.TestCase):
     def test_lost_after_sending_is_unknown_and_not_retried_when_not_idempotent(self):
         # Guards against a payment that runs twice: bytes were sent and the connection broke, so the
-        # target may have paid. The caller is told "unknown" immediately, without a retry.
+        # target may have paid. The caller gets the status "unknown" immediately, without a retry.
         m = make_machine(idempotent=False)
         start_sending(m)
         effects = m.handle(attempts.Lost(1, "reset"), 1.0)
--- a/tests/test_backoffs.py
+++ b/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Back-offs: targets that reject a request and ask for no requests for some time."""
+"""Back-offs: a target rejects a request and asks to be sent none for some time."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 """Back-off in seconds that the targets of these tests request."""
 
 IN_FLIGHT = 0.5
-"""Seconds after the answer in which requests that were sent earlier may still arrive."""
+"""Seconds after the first request in which requests sent before its answer may still arrive."""
 
 
 def requests_during_backoff(notices):
@@ -54,8 +54,8 @@
         await asyncio.gather(*streams)
 
     async def test_callers_are_refused_at_once_where_all_are_backed_off_from(self):
-        # The requests are not run; the answers name a retry delay that does not end before the
-        # first back-off.
+        # The requests are not run; the answers contain a retry delay that does not end before the
+        # first back-off does.
         for target in self.site.targets:
             target.notices.backoff = str(BACKOFF)
         await until_all_rejected(self)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -28,7 +28,7 @@
 """Replica crashes after which a request is quarantined."""
 
 EXTRA_CRASHES = 3
-"""Further replicas that the request may reach, sent by all entry hosts together."""
+"""Further replicas that the request may still reach from all entry hosts together."""
 
 
 class CrashTest(SiteTest):
@@ -72,16 +72,16 @@
         # A crash-causing request gets 502 after two crashes, and its caller retries at another
         # entry host with a new id and the same path, client account and body. Unless crashes are
         # tracked by content across attempts, this repeats for a minute, while other callers have
-        # streams aborted or are rejected for want of a group: of 45 replicas that crashed within
-        # 37 s, 44 did so under 22 such requests, none of which had received an event.
+        # streams aborted or are rejected because no group is left. Of 45 replicas that once crashed
+        # within 37 s, 44 did so under 22 such requests, none of which had received an event.
         await self.send_repeatedly(8)
         self.assertLessEqual(
             len(self.site.engines.crashed_instances), CRASHES_TO_QUARANTINE + EXTRA_CRASHES
         )
 
     async def test_quarantined_request_gets_its_final_answer_at_once(self):
-        # The answer comes without queueing, target or Retry-After. Its own problem type says
-        # whether the request ran.
+        # The request is not queued and reaches no target. The answer has its own problem type and
+        # no Retry-After, and states whether the request ran.
         await self.until_quarantined()
         for entry in self.site.entries:
             await self.until_served(entry)
@@ -159,7 +159,7 @@
 
 
 class EndingTest(unittest.TestCase):
-    """Decisions of a crash tracker by observed and reported crashes; times in seconds."""
+    """Decisions of a crash tracker based on its own and peers' observations; times in seconds."""
 
     def setUp(self):
         self.tracker = CrashTracker()
@@ -315,9 +315,9 @@
 
 class PlayTest(unittest.TestCase):
     def test_crash_causing_requests_and_no_others_are_quarantined(self):
-        # Plays with random batches, innocent requests in flight beside the culprit, lost
-        # connections, late updates and restarts. Entry hosts that must know of a culprit send it at
-        # most three more times, and no request that never crashed a target is rejected for it.
+        # Simulates random batches, innocent requests in flight beside the crash-causing one, lost
+        # connections, late updates and restarts. Entry hosts that must know of a crash-causing
+        # request send it at most three more times, and no other request is rejected for a crash.
         for seed in range(8):
             with self.subTest(seed=seed):
                 self.assertEqual(violations(simulate(seed)), [])
@@ -327,8 +327,8 @@
         # of them. In five of these seeds (42, 85, 107, 203, 426) a restarted entry host quarantined
         # the request: crashes whose requests had all been answered since were not sent to peers, so
         # it knew of four where the others knew of six. In the other four seeds, hosts that knew of
-        # all crashes quarantined it by chance; these pass because sending more updates changed the
-        # random draws of the plays.
+        # all crashes quarantined it by chance; these pass only because sending more updates changed
+        # the random draws of the simulations.
         for seed in (42, 85, 107, 158, 201, 203, 320, 374, 426):
             with self.subTest(seed=seed):
                 self.assertEqual(violations(simulate(seed, crash_series=True)), [])
@@ -385,7 +385,7 @@
         self.assertLess(await self.propagation_time(3.0), 1.0)
 
     async def test_quarantine_is_known_to_all_though_a_hub_is_killed(self):
-        # The aggregator of the data centre is killed, and only its silence shows it to the others.
+        # The aggregator of the data centre is killed. The others detect this only by a timeout.
         self.killed = {aggregator_ranking("a", self.alive)[0]}
         sender = sorted(n for n in self.alive if n.startswith("a") and n not in self.killed)[-1]
         await asyncio.sleep(0.35)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -35,8 +35,8 @@
 
 class DeployTest(unittest.TestCase):
     def test_entry_host_loads_only_what_the_deploy_file_installs(self):
-        # The platform's machines have Python and the declared libraries only. An import of any
-        # other library works on a developer's machine and fails at start on all machines.
+        # The platform's hosts have only Python and the declared libraries. An import of any other
+        # library works on a developer's computer, and fails at start on every host of the platform.
         lines = (ROOT / "deploy/requirements.txt").read_text().split()
         declared = set()
         for line in lines:
--- a/tests/test_domain.py
+++ b/tests/test_domain.py
@@ -1,4 +1,7 @@
-"""Scripted faults in a simulated domain, over several seeds, checked by its oracle."""
+"""Scripted faults in a simulated domain, over several seeds.
+
+After each step :meth:`DomainWorld.check` compares what entry hosts would do with the true state.
+"""
 
 import unittest
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -263,16 +263,16 @@
         await self.assert_problem(400, "bad-request", X_Not_Repeatable="true")
 
     async def test_call_that_cannot_be_claimed_is_not_run(self):
-        # The store is unreachable, so the key can't be recorded and the request is rejected unrun.
+        # The store is unreachable, so the key can't be recorded and the request must not be run.
         problem = await self.assert_problem(
             503, "journal-unavailable", path="/services/desk/pay", Idempotency_Key="k"
         )
         self.assertGreater(problem["retry_after"], 0)
 
     async def test_duplicate_before_the_outcome_is_recorded_gets_the_first_answer(self):
-        # A caller whose payment was answered with 200 repeats the key at another entry host, before
-        # the outcome has reached the store, so the claim still reads as running. Guards against an
-        # "in progress" (409) answer for a payment whose answer the caller already has.
+        # Guards against an "in progress" (409) answer for a payment whose answer the caller already
+        # has. The payment was answered with 200, and the caller repeats the key at another entry
+        # host before the outcome has reached the store, so the claim is still recorded as running.
         verdicts = [Verdict.RUNNING, Verdict.RUNNING, Verdict.DONE]
         self.kernel.register(_ScriptedClaims(verdicts))
         status, body = await self.send(path="/services/desk/pay", Idempotency_Key="k")
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -24,9 +24,9 @@
 
 class ExplainTest(unittest.TestCase):
     def test_interrupted_stream_is_explained_by_the_lost_host(self):
-        # A stream is cut, and the line with its request id names the group. Around that time a host
-        # of the group did not answer and the group was dissolved. Lines of other groups and times
-        # must not appear.
+        # A stream is interrupted, and the log line with its request id names the group. Around that
+        # time a host of the group did not answer and the group was dissolved. Lines about other
+        # groups and times must not appear.
         texts = [
             log_line(50.0, "plan", "written", reason="formed d.1 of m"),
             log_line(
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -157,7 +157,7 @@
 
 
 class HostListTest(unittest.TestCase):
-    """Merges the host list of a restored store with the state known before."""
+    """Tests how the host list of a restored store is merged with the state known before."""
 
     def setUp(self):
         self.inventory = Inventory()
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -154,8 +154,8 @@
 
     def test_group_is_formed_only_of_hosts_that_have_the_weights(self):
         # Two hosts have the weights and the third does not. If all three joined now, two would wait
-        # 16 s for the third. Ordered to load first, it completes the group when it is ready, and
-        # until then the other two can repair another group.
+        # 16 s for the third. The third is therefore ordered to load first, and the group is formed
+        # when it is ready; until then the other two can repair another group.
         world = World(host("a", ("large",)), host("b", ("large",)), host("c"))
         self.assertEqual(without_warm_ups(world.step(obey=False)), [Stage("large", Instance("c"))])
         self.assertEqual(without_warm_ups(world.step(20.0, obey=False)), [])
@@ -475,9 +475,9 @@
         self.assertEqual(next_model(plan, staged, 5, desired, [large, pressed]), pressed)
 
     def test_large_group_that_lacks_one_host_is_waited_for(self):
-        # A group of 16 lost a member. Fifteen of its hosts are free, besides five spares of which
-        # one is loading the weights. If the spares formed small groups meanwhile, the large group
-        # could not be completed any more.
+        # A group of 16 lost a member. Its other 15 hosts are free, and so are five spares, one of
+        # which is loading the weights of the large model. If the spares formed a small group
+        # meanwhile, the large group could not be completed any more.
         large = LARGE._replace(hosts=16, need=5.0, elsewhere=1.0, others=5)
         small = SMALL._replace(hosts=4, need=24.0, elsewhere=4.0, others=20)
         plan = DomainPlan("d")
@@ -528,8 +528,8 @@
 
 class PacingTest(unittest.TestCase):
     def test_all_domains_together_stay_under_the_bound_in_any_window(self):
-        # 4.5 loads a second in windows of 5 s, plus a tenth, plus three: 27.75. Six owners that do
-        # not coordinate all order loads continuously.
+        # Limit: 4.5 loads per second x 5 s x 1.1 + 3 = 27.75 loads per window of 5 s. Six owners
+        # that do not coordinate all order loads continuously.
         pacers = [LoadPacer(27.75, 5.0, 6) for _ in range(6)]
         began = [n * 0.1 for n in range(600) for pacer in pacers if pacer.take(n * 0.1)]
         most = max_within_window(5.0, began)
@@ -537,8 +537,8 @@
         self.assertGreater(len(began) / 60, 1.0)
 
     def test_owner_that_came_first_shares_with_the_domains_that_show_later(self):
-        # At the first start the list shows one domain, then six. The owner of the first domain used
-        # the whole limit as long as it ran.
+        # At the first start the list shows one domain, then six. Without share_among(), the owner
+        # of the first domain would use the whole limit for as long as it owns it.
         first = LoadPacer(27.75, 5.0, 1, 6)
         first.share_among(6)
         first.share_among(2)
@@ -573,7 +573,7 @@
         self.assertEqual((await self.ask((0.01, True)))[0], 0)
 
     async def test_one_answer_of_two_shows_that_a_host_lives(self):
-        # The first answer was lost with a packet, or the first connection was dead.
+        # The first probe or its answer was lost with a packet, or its connection was dead.
         self.assertEqual((await self.ask((0.4, False), (0.01, True)))[0], 0)
         self.assertEqual((await self.ask((0.3, True), (0.4, False)))[0], 0)
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,7 @@
-"""Tests of target hosts that restart under the same name, and of entries by foreign writers."""
+"""Tests of target hosts that restart under the same name, and of foreign entries.
+
+Foreign entries are those that other writers than the platform's hosts put into the host list.
+"""
 
 import json
 import unittest
@@ -163,7 +166,7 @@
 
 
 class HeldTest(unittest.TestCase):
-    """Candidates and host lists in the presence of foreign entries."""
+    """Candidates and engine hosts after a restart, and in the presence of foreign entries."""
 
     def test_plain_target_in_a_new_life_is_another_target(self):
         # Its counters and suspicion belong to the ended incarnation.
@@ -282,9 +285,9 @@
 
 class SiteOfLivesTest(SiteTest):
     async def test_what_is_written_over_an_entry_takes_its_place(self):
-        # Foreign bytes overwrite the entry of one of two targets. If the earlier entry were
-        # retained, requests would go to a host that nothing confirms as live; the other target
-        # stays in use.
+        # A foreign writer overwrites the entry of one of two targets with malformed data. If the
+        # earlier entry were retained, requests would go to a host that may no longer be live. The
+        # other target must stay in use.
         self.site.write_entry("t-0", b'{"service": "desk", "state"')
 
         def names():
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -96,7 +96,7 @@
 
 
 class LeavingAnnouncementTest(unittest.TestCase):
-    """Tracking of announcements by targets that they leave."""
+    """Tracking of targets that announced that they are leaving."""
 
     def setUp(self):
         self.inventory = Inventory()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,7 +15,7 @@
 
 
 def settle(hosts, requests_by_host, sides):
-    """Run 20 seconds of demand; each side of a partition receives only its own updates."""
+    """Run 20 seconds of demand; demand is sent only within each side of a partition."""
     for _ in range(20):
         for name, limits in hosts.items():
             for _ in range(requests_by_host.get(name, 0)):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -73,8 +73,8 @@
 
 class PlanningTaskTest(unittest.TestCase):
     def test_planner_hears_of_domains_that_others_own(self):
-        # The planner owns no domain. The owner of "d" finds that all its hosts are lost, and the
-        # planner learns this only from the evidence that the owner sends to its peers.
+        # The planner owns no domain. Another entry host owns "d" and finds no usable host there.
+        # The planner learns this only from the evidence that the owner sends to its peers.
         kernel = Kernel()
         decisions = Decisions("e1")
         planner = PlanningTask(kernel, "e1", "hall", decisions)
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -1,5 +1,4 @@
-"""Tests of an entry host's presence in the store and of its retries when the store rejects
-calls."""
+"""Tests of an entry host's presence in the store and of retries when the store rejects calls."""
 
 import asyncio
 import random
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -59,7 +59,7 @@
         self.folder = tempfile.TemporaryDirectory()
         self.site = Site(SITE_CONFIG, Path(self.folder.name), PROGRAM)
         # Cleanups run even if the set-up fails, unlike a tear-down. Processes left running would
-        # keep the addresses, and the next run would talk to them.
+        # keep the addresses, and the next run would connect to them.
         self.addCleanup(self.folder.cleanup)
         self.addCleanup(self.site.stop)
         self.site.start()
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -87,8 +87,8 @@
         self.assertEqual({reply.status for reply, _ in answers}, {200})
 
     async def test_callers_are_refused_at_once_where_all_targets_are_limited(self):
-        # The requests are neither queued nor kept until their deadline. They are not run, and the
-        # answers name a retry delay.
+        # The requests are answered immediately instead of waiting in a queue or until their
+        # deadline. They are not run, and the answers contain a retry delay.
         for target in self.site.targets:
             target.notices.limit = "0.5"
             await self.wait_for_first_notice(target.notices, "/scan/x")
@@ -113,7 +113,7 @@
         self.assertGreater(len(notices.arrivals) - before, 6)
 
     async def test_refusal_that_names_a_limit_puts_nobody_in_doubt(self):
-        # A target that sheds load is neither slow nor lost.
+        # A target that sheds load must not be suspected of being slow or lost.
         target = self.site.targets[0]
         target.notices.limit, target.faults.shed = "1", 1
         answers = await self.send_at_rate(20, 0.5, "/scan/x")
@@ -142,7 +142,7 @@
         await until(lambda: not limits.rate_by_incarnation, 5.0)
 
     async def test_limit_of_a_member_named_in_its_answers_to_probes_binds_the_group(self):
-        # Every request of the group passes through the member, though it receives none itself.
+        # Every request of the group passes through the member, though entry hosts send it none.
         _, model = await self.limited_head("")
         group = self.entry.candidates("pool", model)[0]
         member = self.site.engines.host_by_instance[group.members[0].partition("@")[0]]
@@ -477,7 +477,7 @@
         self.tasks[name].answered("t@5", named, StatementSource(CallKind.REQUEST, self.now))
 
     async def advance(self, seconds):
-        """Let all hosts that are up send their reports for some seconds."""
+        """Advance the time by some seconds, in which all hosts that are up send their reports."""
         end = self.now + seconds
         while self.now < end:
             for name in self.alive.keys() - self.down:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -110,9 +110,9 @@
         self.assertEqual(reading, [main_reader(self.alive)])
 
     def test_duties_for_many_fall_to_strong_machines(self):
-        # Guards against a weak reader: after a power failure a machine with half a core and a slow
-        # link read the store for 38 peers, which waited two seconds for their first content and
-        # rejected requests meanwhile.
+        # Guards against a weak reader. If a host with half a core and a slow link reads the store
+        # for 38 peers after a power failure, they wait two seconds for their first content and
+        # reject requests meanwhile.
         strong = {"e2", "e3"}
         alive = {
             p.name: p._replace(strength=200.0 if p.name in strong else 10.0)
@@ -121,7 +121,7 @@
         self.assertEqual({reader_of(d, alive).name for d in "ab"}, strong)
         self.assertEqual({aggregator_ranking(d, alive)[0] for d in "ab"}, strong)
         self.assertIn(preferred_owner("d0", alive), strong)
-        # In a data centre with one strong machine the second aggregator is a weaker one.
+        # In a data centre with one strong host, the second aggregator is a weaker host.
         self.assertEqual(len(aggregator_ranking("a", alive)), 2)
         del alive["e2"], alive["e3"]
         self.assertIsNotNone(reader_of("a", alive))
@@ -176,11 +176,12 @@
 
 
 class ProofTest(unittest.IsolatedAsyncioTestCase):
-    """Freshness checks beside reads, which postpone the 503 of a partitioned data centre.
+    """Freshness checks during reads. With them, a partitioned data centre rejects requests later.
 
-    A read alone verifies the content as of 1.3 s earlier, as a store that drops its history sends
-    nothing for a second. Without checks, 2 s of the 4.3 s for which a verification is valid had
-    passed at the partition: requests were rejected 2.4 s after it, retried and rejected again.
+    A read alone verifies the content only as of 1.3 s earlier, because a store that is about to
+    drop its history sends nothing for a second. Without checks, 2 s of the 4.3 s for which a
+    verification is valid have passed when a partition begins: requests are rejected 2.4 s after
+    it, retried and rejected again.
     """
 
     def setUp(self):
@@ -217,7 +218,7 @@
         self.assertEqual(self.notes[0][1]["held"], {"configuration": rev(7)})
 
     async def test_configuration_is_proved_again_while_the_reading_hangs(self):
-        # Without checks during a hanging read, the reader's last check became too old and sixty
+        # Without checks during a hanging read, the reader's last check becomes too old, and sixty
         # hosts read the store concurrently.
         reading = asyncio.create_task(self.source(FakeStore(delay=5.0)).read(rev(9), 100.0))
         await asyncio.sleep(CHECK_INTERVAL + 0.1)
@@ -262,10 +263,10 @@
 
 class SourcesTest(unittest.IsolatedAsyncioTestCase):
     async def test_outage_is_not_asked_about_by_all_the_time(self):
-        # The store is down and the reader of this data centre has no content. If each of sixty
-        # hosts asks the store four times a second, each failed call is billed. A host that has a
-        # reader to ask backs off from the store for a second, and keeps asking the reader, which
-        # detects the recovery first. A reader that doesn't respond is put in back-off too.
+        # The store is down and the reader of this data centre has no content. Failed calls are
+        # billed too, so sixty hosts must not each call the store four times a second. A host that
+        # has a reader to ask backs off from the store for a second, and keeps asking the reader,
+        # which detects the recovery first. A reader that doesn't respond is put in back-off too.
         me, reader = Presence("e1", "l", "x:1", "a"), Presence("e2", "l", "x:2", "a")
         me, reader = sorted((me, reader), key=lambda p: p == self.reader(me, reader))
         sources = self.sources(me, reader)
@@ -398,9 +399,9 @@
 
     async def test_what_the_reader_writes_itself_reaches_its_peers(self):
         # The reader of a data centre also owns a fabric domain and forms groups there. It holds its
-        # plan from the time of its write, so the read that returns the plan is nothing new to it.
-        # If the change were therefore not relayed, peers would send no requests to these groups
-        # until their next read of the whole content.
+        # plan from the time of its own write, so the read that returns the plan changes nothing for
+        # it. If the change were not relayed for that reason, peers would send no requests to these
+        # groups until their next read of the whole content.
         copy = KeyedCopy(lambda value: value, Records("here"))
         mirror = make_mirror(_FakeSources(self.store), {}, [])
         mirror._subscriptions = [Subscription("", copy.replace, copy.change)]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -52,7 +52,7 @@
         )
 
     def test_many_send_one_report_each(self):
-        # A full mesh of 90 hosts sent 160,000 datagrams per second, more than their links can
+        # A full mesh of 90 hosts would send 160,000 datagrams per second, more than their links can
         # carry. With aggregators, the traffic grows only linearly with the number of hosts: about
         # two datagrams per host and interval.
         alive = presences(90)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -81,8 +81,8 @@
 class UpkeepTest(unittest.TestCase):
     def test_changed_host_recomputes_only_its_domain(self):
         # One host of 1,095 leaves its group. Recomputing all 15 domains takes 0.74 ms of CPU time
-        # per store read on each of 195 entry hosts, recomputing only the changed one 0.13 ms. With
-        # the former, entry hosts with half a core answered callers a second late.
+        # per store read on each of 195 entry hosts, which delays the answers of those with half a
+        # core by a second. Recomputing only the changed domain takes 0.13 ms.
         fleet = Fleet()
         engines = EngineHosts(fleet.inventory)
         fleet.view.refresh(CATALOG)
@@ -113,9 +113,9 @@
         self.assertFalse(fleet.view.refresh(CATALOG))
 
     def test_change_of_all_hosts_takes_few_log_lines_of_atomic_size(self):
-        # At the start each host changes three times within seconds. One line per change made 3,300
-        # lines before the first request, an eighth of an entry host's work until then. A line that
-        # exceeds the atomic write size of a pipe could be truncated.
+        # At the start each host changes three times within seconds. With one line per change, an
+        # entry host would write 3,300 lines before the first request, an eighth of its CPU time
+        # until then. A line that exceeds the atomic write size of a pipe could be truncated.
         lines = []
         records = mock.Mock(Records)
         records.note.side_effect = lambda part, what, **facts: lines.append(facts)
@@ -247,8 +247,8 @@
 
 class LoopLagTest(unittest.IsolatedAsyncioTestCase):
     async def test_blocking_step_is_reported_as_lag(self):
-        # A step blocks the event loop for a fifth of a second and delays the timers of all tasks by
-        # as much. The process reports this delay, to distinguish it from a slow target.
+        # A callback blocks the event loop for a fifth of a second, which delays the timers of all
+        # tasks by as much. The process reports this delay, to distinguish it from a slow target.
         kernel = Kernel()
 
         class Ticking(Task):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -258,8 +258,8 @@
         self.assertEqual(self.book.choose([remote, local], (), 0.0).target, "far")
 
     def test_target_with_a_kept_connection_goes_first_until_it_is_busier(self):
-        # Preferring open connections reduced new connections in a benchmark day with 23 entry hosts
-        # from 1,304 for 2,512 requests to 932 for 2,489.
+        # On a benchmark day with 23 entry hosts, the preference for open connections reduced new
+        # connections from 1,304 for 2,512 requests to 932 for 2,489 requests.
         other, kept = target("other"), target("kept")
         kept = kept._replace(host=kept.host._replace(address="10.0.0.2:80"))
 
@@ -302,9 +302,10 @@
         self.assertFalse(self.book.is_suspect("a", 10.3))
 
     def test_callers_are_not_refused_while_most_groups_stand_idle_under_suspicion(self):
-        # Callers got 503 while 29 of 35 groups were idle. In a burst, a group is late for one
-        # request, which moves elsewhere and reports the group as suspect to all entry hosts. Each
-        # host avoids it for two seconds, so the other groups are overloaded and become suspects.
+        # Guards against 503 for callers while most groups, once 29 of 35, are idle. In a burst, a
+        # group is late for one request. The request moves elsewhere, and its entry host reports the
+        # group as suspect to all others. Each host avoids the group for two seconds, so the other
+        # groups are overloaded and become suspects too.
         groups = [target(f"g{n}") for n in range(7)]
         for group in groups[:5]:
             self.book.suspect(group.target, 0.0)
@@ -351,7 +352,7 @@
     def test_busiest_hour_spreads_evenly(self):
         # 80 requests are placed one after the other on eight groups of ten slots. No group may get
         # more requests than slots while another has free slots. With random placement, the fullest
-        # of eight held 17 in the mean of 100 runs; with request counts it holds 10.
+        # of eight held 17 on average over 100 runs; with request counts it holds 10.
         candidates = [target(f"g{n}") for n in range(8)]
         for _ in range(80):
             self.book.begin(self.book.choose(candidates, (), 0.0).target)
@@ -419,9 +420,10 @@
     def test_pooled_shares_stay_under_the_bound_whoever_hears_whom(
         self, hosts, lag, eager, cut, seed
     ):
-        # Hosts use all retries that they may, some of them from the start. Updates are up to 0.3 s
-        # old, a tenth of them is lost, and in half of the runs the hosts are partitioned into two
-        # halves. In no window may all hosts together use more retries than the bound.
+        # In alternating periods of 2.5 s, a random part of the hosts or all of them use all retries
+        # that they may. Updates are up to 0.3 s old, a tenth of them is lost, and in half of the
+        # runs the hosts are partitioned into two halves. In no window may all hosts together use
+        # more retries than the bound.
         rng = random.Random(seed)
         ratio, slack, window, step = 0.2, 60.0, 10.0, 0.05
         budgets = [SharedRetryBudget(ratio, slack, window) for _ in range(hosts)]
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -63,8 +63,8 @@
 
 class StewardTest(unittest.TestCase):
     def test_taker_waits_before_it_acts(self):
-        # The displaced owner may send orders until its confirmation expires. Orders that the new
-        # owner sent before then would interleave with them.
+        # The displaced owner may send orders until its last confirmation by the store expires. If
+        # the new owner sent orders before then, those of the two would interleave.
         steward = make_steward()
         own(steward, 100.0)
         effects, _ = run(steward, 100.0, 2.0, [report("a"), report("b")])
@@ -86,8 +86,9 @@
         self.assertFalse(swaps(effects))
 
     def test_displaced_owner_waits_before_it_takes_back(self):
-        # Two entry hosts reach the store but not each other, and membership suggests the domain
-        # to both. If they displaced each other without delay, neither would repair any group.
+        # Two entry hosts reach the store but not each other, so by its own membership list each
+        # should own the domain. If they displaced each other without delay, neither would repair
+        # any group.
         steward = make_steward()
         own(steward, 100.0)
         other = OWNED._replace(owner="e2", owner_epoch=9)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -84,8 +84,9 @@
 
     async def test_request_that_crashes_each_engine_is_quarantined(self):
         # Guards against a crash-causing request that its caller keeps retrying. Each retry has a
-        # new id but the same method, path, account and body. If nothing is remembered beyond one
-        # answer, ten retries at the maximum of four attempts each crash forty engines.
+        # new id but the same method, path, account and body. If crashes were recorded only until
+        # the request is answered, ten retries with the maximum of four attempts each would crash
+        # forty engines.
         suspects = RequestQuarantineTask(
             Kernel(), "entry", random.Random(1), Decisions("entry"), lambda: 10
         )
--- a/tests/test_users_site.py
+++ b/tests/test_users_site.py
@@ -177,8 +177,8 @@
 class FreshnessTest(SiteTest):
     async def test_freshness_check_is_as_recent_as_the_store_read(self):
         # A partitioned host may accept keys until its last freshness check is too old. If the check
-        # is as recent as the last store read (0.0 s instead of 1.3 s in a benchmark), that time is
-        # nearly all of the bound for removed keys.
+        # is as recent as the last store read (0.0 s old instead of 1.3 s), the host may do so for
+        # nearly the whole bound for removed keys.
         await until(lambda: self.entry._freshness.age(boottime_seconds()) < 0.3)
 
     async def test_check_of_the_old_configuration_does_not_verify_the_new_one(self):
@@ -223,7 +223,7 @@
 
     async def test_request_is_refused_in_time_where_no_configuration_comes(self):
         # The store is down too. With a caller timeout of 1.2 s, the rejection as "not run" comes
-        # after a third of it, which leaves the caller time to try another host.
+        # after 30 % of it, which leaves the caller time to try another host.
         self.reset_configuration()
         began = time.monotonic()
         reply, _ = await self.reply("/scan/1", Deadline_Ms="1200")
@@ -300,8 +300,8 @@
         self.assertTrue(all(r.joined_members == 3 for r in self.site.engines.runs[-1:]))
 
     async def test_failed_domain_refresh_is_logged_and_repeated(self):
-        # An exception in a domain refresh that was triggered by a change and not by the timer. If
-        # it ended the task silently, no group would be repaired in time any more.
+        # A domain refresh that was triggered by a change, not by the timer, raises an exception. If
+        # that ended the task silently, no further group would be repaired in time.
         owner = self.entry._owner
         failures, refreshes = [], []
         owner.log_failure = failures.append
@@ -319,9 +319,9 @@
         self.assertEqual([str(f) for f in failures], ["a fault"])
 
     async def test_rejecting_store_is_not_flooded_with_plans(self):
-        # A member is lost when the store begins to reject all writes immediately, so the owner
-        # can't write that the group is dissolved. Without a pause between attempts it would retry
-        # every 20 ms until its copy is too old (61 calls here), as it did in an incident.
+        # A member is lost while the store immediately rejects all writes, so the owner can't write
+        # that the group is dissolved. Without a pause between attempts it would retry every 20 ms
+        # until its copy of the store is too old for orders (61 calls here).
         (candidate,) = self.entry.candidates("pool", LARGE)
         head = self.site.engines.host_by_instance[candidate.host.instance.name]
         self.site.store.faults.status = 503
@@ -337,7 +337,7 @@
 
     async def test_request_that_may_run_once_is_not_sent_again_after_its_answer_is_lost(self):
         # The target executes the payment and its answer is lost. Sending it again would pay twice,
-        # and "not run" would be false, so the caller is told that the outcome is unknown.
+        # and "not run" would be false, so the response states that the outcome is unknown.
         for target in self.site.targets:
             target.faults.reset = 1
         reply, _ = await self.reply("/pay/x", "POST")
@@ -402,8 +402,8 @@
         self.assertEqual((await self.reply("/scan/x", key="key-new"))[0].status, 200)
 
     async def test_history_that_is_forgotten_is_read_anew(self):
-        # The store drops its history while this host is behind, so it can't read the single
-        # changes any more. It must read everything again and apply the new configuration.
+        # The store drops its history while this host is behind, so the host can no longer read the
+        # individual changes. It must read everything again and apply the new configuration.
         self.site.store.faults.status = 503
         await asyncio.sleep(0.8)
         self.site.configure(5, {"hall": ["key-a"]})
@@ -565,8 +565,9 @@
 
 class DecodingTest(unittest.TestCase):
     def test_signed_answer_without_an_id_belongs_to_another_request(self):
-        # A target sends a duplicate answer to a request without an id on a reused connection. If it
-        # were taken for the answer to the next request, the caller would get another's answer.
+        # On a reused connection, a target sends a duplicate answer to an earlier request without an
+        # id. If it were taken for the answer to the next request, that caller would receive the
+        # answer to another request.
         codec = HeaderCodec()
         extra = HTTPHeaders({"Response-Seal": "s"})
         self.assertFalse(codec.is_reply_to("r1", extra))
